--- a/src/app/sailtillerd/siteadmin.cpp
+++ b/src/app/sailtillerd/siteadmin.cpp
@@ -171,14 +171,14 @@
     for (const auto& [id, entry] : this->view.knowledge.upstreams().entries()) {
         const discovered_upstream& upstream = entry.upstream;
         const std::optional<time_point> pause_end = this->view.pauses.end_of(id, now);
-        const part_load& load = this->view.loads.of(id);
+        const engine_load& load = this->view.loads.of(id);
         const std::optional<double> limit = this->view.limits.limit_of(id);
         list.push_back({{"id", id.value()}, {"service", upstream.service.value()},
             {"address", upstream.address.value()}, {"data_hall", upstream.data_hall.value()},
             {"card", upstream.card}, {"layers", json::array({upstream.held.begin, upstream.held.end})},
             {"leaving", upstream.is_leaving}, {"lapsed", entry.is_lapsed},
-            {"suspended", !load.takes_work(now)}, {"requests", load.requests},
-            {"requests_of_others", load.other_requests},
+            {"suspended", !load.accepts_requests(now)}, {"requests", load.requests},
+            {"requests_of_others", load.remote_requests},
             {"requests_per_second", limit ? json(*limit) : json()},
             {"paused_ms", write_age(pause_end ? std::optional(*pause_end - now) : std::nullopt)}});
     }
--- a/src/app/sailtillerd/siteadmin.h
+++ b/src/app/sailtillerd/siteadmin.h
@@ -19,7 +19,7 @@
     const host_id& self;
     const data_hall_id& data_hall;
     const site_knowledge& knowledge;
-    const part_loads& loads;
+    const engine_loads& loads;
     const host_table& hosts;
     const crash_suspects& suspects;
     const upstream_limits& limits;
--- a/src/app/sailtillerd/sitehost.cpp
+++ b/src/app/sailtillerd/sitehost.cpp
@@ -300,12 +300,12 @@
     std::vector<host_id> present = hosts.present_ids(now);
     this->pipes.set_live_hosts(present.size());
     this->health.set_live_hosts(std::move(present));
-    std::map<upstream_id, upstream_share> shares;
+    std::map<upstream_id, upstream_usage> shares;
     for (const auto& [id, work] : hosts.sum_work(now)) {
         shares[id] = {work.token_layers, work.requests};
     }
-    this->loads.set_others(shares);
-    this->loads.set_unheard_hosts(hosts.unheard_count(now));
+    this->loads.set_remote_usage(shares);
+    this->loads.set_unreported_hosts(hosts.unheard_count(now));
     this->take_place(hosts);
     if (hosts.live_count(now) <= 1) {
         this->reading.note_alone(now);
@@ -385,7 +385,7 @@
     hooks.token = [this] { return this->duties.order_token(); };
     hooks.on_fenced = [this](fencing_token token) { this->duties.note_refused(token); };
     hooks.used_share = [this](const engine_profile& profile, const discovered_upstream& upstream) {
-        return upstream.held.is_empty() ? 0 : used_share_of(profile, this->loads, upstream);
+        return upstream.held.is_empty() ? 0 : token_utilization_of(profile, this->loads, upstream);
     };
     hooks.is_dead = [this](const upstream_id& id) { return this->loads.of(id).has_failed(this->loop.now()); };
     hooks.on_result = [this](const layer_order& order, order_result result) {
@@ -409,7 +409,7 @@
     this->loads.forget_idle(is_known);
     this->health.forget(is_known);
     this->limits.tidy(is_known);
-    this->pauses.tidy(this->loop.now());
+    this->pauses.remove_expired(this->loop.now());
     this->gateway.leave_given_up_layers();
     const std::shared_ptr<const site_bundle>& bundle = this->gateway.current_bundle();
     const upstream_pool* pool = bundle ? bundle->engine_pool() : nullptr;
--- a/src/app/sailtillerd/sitehost.h
+++ b/src/app/sailtillerd/sitehost.h
@@ -77,7 +77,7 @@
     random_function random;
     store_client store;
     site_knowledge knowledge;
-    part_loads loads;
+    engine_loads loads;
     upstream_pauses pauses;
     store_reading reading;
     std::optional<store_era> seen_era; ///< of the store's history, as of the last look
--- a/src/app/sailtillerd/upstreamhealth.cpp
+++ b/src/app/sailtillerd/upstreamhealth.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 upstream_health::upstream_health(event_loop& loop, upstream_link& link, const upstream_directory& upstreams,
-    part_loads& loads, host_id self, duration death_suspension, upstream_health_hooks hooks)
+    engine_loads& loads, host_id self, duration death_suspension, upstream_health_hooks hooks)
     : loop(loop)
     , link(link)
     , upstreams(upstreams)
@@ -108,7 +108,7 @@
     }
     const time_point now = this->loop.now();
     if (const std::optional<time_point> until = this->told.note(item.id, teller, now + item.left, now)) {
-        this->loads.suspend_on_word(item.id, *until);
+        this->loads.suspend_on_report(item.id, *until);
         this->watch.prober().note_told_dead(item.id);
     }
 }
@@ -212,7 +212,7 @@
 
 void upstream_health::take_pace(const upstream_id& id, double pace)
 {
-    const part_load& known = this->loads.of(id);
+    const engine_load& known = this->loads.of(id);
     const bool was_dead = known.has_failed(this->loop.now());
     const bool is_news = was_dead || std::abs(known.pace - pace) > pace_margin;
     log_event(is_news ? log_level::info : log_level::debug, event_type::upstream_alive,
--- a/src/app/sailtillerd/upstreamhealth.h
+++ b/src/app/sailtillerd/upstreamhealth.h
@@ -8,7 +8,7 @@
 #include <fleet/peerreport.h>
 #include <health/stallwatch.h>
 #include <health/tolddeaths.h>
-#include <routing/partloads.h>
+#include <routing/engineloads.h>
 
 namespace sailtiller {
 
@@ -36,7 +36,7 @@
 public:
     /// Nothing new goes to a dead upstream for `death_suspension` after each probe without answer.
     upstream_health(event_loop& loop, upstream_link& link, const upstream_directory& upstreams,
-        part_loads& loads, host_id self, duration death_suspension, upstream_health_hooks hooks);
+        engine_loads& loads, host_id self, duration death_suspension, upstream_health_hooks hooks);
 
     /// Begins to look at the streams; goes on by itself.
     void start();
@@ -74,7 +74,7 @@
     event_loop& loop;
     upstream_link& link;
     const upstream_directory& upstreams;
-    part_loads& loads;
+    engine_loads& loads;
     host_id self;
     duration death_suspension;
     upstream_health_hooks hooks;
--- a/src/libs/delivery/deliverycontext.h
+++ b/src/libs/delivery/deliverycontext.h
@@ -125,7 +125,7 @@
     std::function<void(const path_change&, std::function<void(const path_change_answer&)>)> change_path;
     stall_watch& watch;
     const upstream_directory& directory;
-    part_loads& loads;
+    engine_loads& loads;
     retry_allowance& retries;
     pipe_meter& pipes;
     /// Requests under which upstreams have ended, known to all hosts.
--- a/src/libs/delivery/pathchooser.cpp
+++ b/src/libs/delivery/pathchooser.cpp
@@ -28,41 +28,41 @@
 
 double path_chooser::pipe_share(const data_hall_id& from, const data_hall_id& to, time_point now) const
 {
-    return this->context.pipes.used_share(from, to, this->profile()->pipe_bits_per_s(), now);
+    return this->context.pipes.utilization(from, to, this->profile()->pipe_bits_per_s(), now);
 }
 
 std::optional<layer_path> path_chooser::find(
     const std::set<upstream_id>& avoided, const layer_path& present) const
 {
-    path_question question;
+    path_query question;
     question.service = this->order.service;
     question.origin = this->context.data_hall;
     question.prompt_tokens = this->order.request.prompt_tokens;
     question.answer_tokens = this->expected_answer_tokens();
     question.avoided = avoided;
-    question.present = present;
+    question.current_path = present;
     question.now = this->context.timers.now();
     question.random = this->context.random;
-    question.pipe_share = [this, now = question.now](const data_hall_id& from, const data_hall_id& to) {
+    question.pipe_utilization = [this, now = question.now](const data_hall_id& from, const data_hall_id& to) {
         return this->pipe_share(from, to, now);
     };
     if (!this->gate.is_open()) {
-        question.may_lead = [this](const upstream_id& id) { return this->gate.may_send(id); };
+        question.may_be_head = [this](const upstream_id& id) { return this->gate.may_send(id); };
     }
     return find_layer_path(*this->profile(), this->context.directory, this->context.loads, question);
 }
 
 std::optional<duration> path_chooser::closed_for(const std::set<upstream_id>& avoided) const
 {
-    const auto may_lead = [this](const discovered_upstream& upstream) {
+    const auto may_be_head = [this](const discovered_upstream& upstream) {
         return upstream.service == this->order.service && !upstream.is_leaving && upstream.held.holds(0);
     };
-    return this->gate.closed_for(may_lead, avoided);
+    return this->gate.closed_for(may_be_head, avoided);
 }
 
 bool path_chooser::has_room(const layer_path& path) const
 {
-    const double fullest = predict_fullest_share(
+    const double fullest = predict_peak_utilization(
         *this->profile(), this->context.directory, this->context.loads, path, this->expected_tokens());
     const time_point now = this->context.timers.now();
     bool are_pipes_free = true;
@@ -73,14 +73,14 @@
     return are_pipes_free && fullest <= this->context.settings.most_share;
 }
 
-bool path_chooser::is_idle(const path_part& part) const
+bool path_chooser::is_idle(const path_stage& part) const
 {
     const engine_profile& profile = *this->profile();
-    const part_loads& loads = this->context.loads;
-    const double share = predict_fullest_share(profile, this->context.directory, loads, {part}, 0);
+    const engine_loads& loads = this->context.loads;
+    const double share = predict_peak_utilization(profile, this->context.directory, loads, {part}, 0);
     const double slots = profile.request_slots == 0
         ? 0
-        : loads.all_requests(loads.of(part.id)) / static_cast<double>(profile.request_slots);
+        : loads.total_requests(loads.of(part.id)) / static_cast<double>(profile.request_slots);
     return std::max(share, slots) < this->context.settings.most_idle_share;
 }
 
--- a/src/libs/delivery/pathchooser.h
+++ b/src/libs/delivery/pathchooser.h
@@ -29,7 +29,7 @@
     /// True if neither an engine of the path nor a pipe between its halls is too full for the request.
     [[nodiscard]] bool has_room(const layer_path& path) const;
     /// True if the part's engine has room and slots left, by what this host knows of the work there.
-    [[nodiscard]] bool is_idle(const path_part& part) const;
+    [[nodiscard]] bool is_idle(const path_stage& part) const;
     /// What the path leads one to expect of the stream over it.
     [[nodiscard]] stream_expectation expect(const layer_path& path) const;
     /// Tokens of the prompt and of the expected answer.
--- a/src/libs/delivery/pathuse.cpp
+++ b/src/libs/delivery/pathuse.cpp
@@ -22,7 +22,7 @@
 
 void path_use::note_begun()
 {
-    for (const path_part& part : this->path) {
+    for (const path_stage& part : this->path) {
         this->context.loads.resume(part.id);
     }
 }
@@ -42,22 +42,22 @@
     }
 }
 
-const path_part& path_use::find_culprit(const std::optional<endpoint>& at_fault) const
+const path_stage& path_use::find_culprit(const std::optional<endpoint>& at_fault) const
 {
     const auto found = std::find_if(this->path.begin(), this->path.end(),
-        [&at_fault](const path_part& part) { return part.address == at_fault; });
+        [&at_fault](const path_stage& part) { return part.address == at_fault; });
     return found == this->path.end() ? this->head() : *found;
 }
 
 bool path_use::passes(const upstream_id& id) const
 {
     return std::any_of(
-        this->path.begin(), this->path.end(), [&id](const path_part& part) { return part.id == id; });
+        this->path.begin(), this->path.end(), [&id](const path_stage& part) { return part.id == id; });
 }
 
 bool path_use::passes_behind_head(const std::set<upstream_id>& ids) const
 {
-    return std::any_of(this->path.begin(), this->path.end(), [this, &ids](const path_part& part) {
+    return std::any_of(this->path.begin(), this->path.end(), [this, &ids](const path_stage& part) {
         return part.id != this->head().id && ids.count(part.id) != 0;
     });
 }
@@ -70,7 +70,7 @@
 
 bool path_use::outlives_layers() const
 {
-    return std::any_of(this->path.begin(), this->path.end(), [this](const path_part& part) {
+    return std::any_of(this->path.begin(), this->path.end(), [this](const path_stage& part) {
         const directory_entry* entry = this->context.directory.find(part.id);
         return entry != nullptr && part.id != this->path.front().id
             && !entry->upstream.held.contains(part.span);
@@ -80,7 +80,7 @@
 void path_use::add_work()
 {
     const double tokens = this->chooser.expected_tokens();
-    for (const path_part& part : this->path) {
+    for (const path_stage& part : this->path) {
         this->context.loads.add(part.id, tokens * part.span.count());
     }
     const double bits = this->chooser.crossing_bits();
@@ -94,7 +94,7 @@
 void path_use::subtract_work()
 {
     const double tokens = this->chooser.expected_tokens();
-    for (const path_part& part : this->path) {
+    for (const path_stage& part : this->path) {
         this->context.loads.subtract(part.id, tokens * part.span.count());
     }
 }
@@ -102,7 +102,7 @@
 std::vector<upstream_id> path_use::list_ids() const
 {
     std::vector<upstream_id> ids;
-    for (const path_part& part : this->path) {
+    for (const path_stage& part : this->path) {
         ids.push_back(part.id);
     }
     return ids;
@@ -111,7 +111,7 @@
 std::vector<path_stop> list_stops(const layer_path& path)
 {
     std::vector<path_stop> stops;
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         stops.push_back({part.address, part.span.begin, part.span.end});
     }
     return stops;
@@ -120,7 +120,7 @@
 std::string describe_path(const layer_path& path)
 {
     std::string text;
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         text += (text.empty() ? "" : ",") + part.address.value() + "=" + std::to_string(part.span.begin) + "-"
             + std::to_string(part.span.end);
     }
--- a/src/libs/delivery/pathuse.h
+++ b/src/libs/delivery/pathuse.h
@@ -30,9 +30,9 @@
     [[nodiscard]] bool is_empty() const { return this->path.empty(); }
     [[nodiscard]] const layer_path& parts() const { return this->path; }
     /// The engine to which the request was sent; the path must not be empty.
-    [[nodiscard]] const path_part& head() const { return this->path.front(); }
+    [[nodiscard]] const path_stage& head() const { return this->path.front(); }
     /// The engine that refused: the one at this address if the path has it, else the head.
-    [[nodiscard]] const path_part& find_culprit(const std::optional<endpoint>& at_fault) const;
+    [[nodiscard]] const path_stage& find_culprit(const std::optional<endpoint>& at_fault) const;
     [[nodiscard]] bool passes(const upstream_id& id) const;
     /// True if a part that a change of path could replace is one of these; the head always stays.
     [[nodiscard]] bool passes_behind_head(const std::set<upstream_id>& ids) const;
--- a/src/libs/delivery/plaindelivery.cpp
+++ b/src/libs/delivery/plaindelivery.cpp
@@ -54,15 +54,15 @@
         if (!this->is_candidate(entry.upstream)) {
             continue;
         }
-        const part_load& load = this->context.loads.of(id);
-        if (!load.takes_work(now) || this->avoided.count(id) != 0 || this->target == id) {
+        const engine_load& load = this->context.loads.of(id);
+        if (!load.accepts_requests(now) || this->avoided.count(id) != 0 || this->target == id) {
             continue;
         }
         // The fraction spreads equal choices of different hosts.
         constexpr double spread = 0.1;
         const double tie = spread * static_cast<double>(this->context.random() % 100) / 100;
         const bool is_here = entry.upstream.data_hall == this->context.data_hall;
-        const double cost = load.requests + load.other_requests + (is_here ? 0 : other_hall_requests) + tie;
+        const double cost = load.requests + load.remote_requests + (is_here ? 0 : other_hall_requests) + tie;
         if (cost < least && this->gate.may_send(id)) {
             least = cost;
             best = &entry.upstream;
--- a/src/libs/delivery/servicecall.cpp
+++ b/src/libs/delivery/servicecall.cpp
@@ -87,7 +87,7 @@
     const service_option failed = *this->target;
     this->hooks.note(failure.origin.step, failed.name.value(), failure.reason);
     if (failure.retry_after) {
-        failed.load->note_asked_to_wait(this->hooks.timers.now(), *failure.retry_after);
+        failed.load->note_retry_after(this->hooks.timers.now(), *failure.retry_after);
     } else {
         failed.load->note_failure(this->hooks.timers.now());
     }
--- a/src/libs/delivery/streamdelivery.cpp
+++ b/src/libs/delivery/streamdelivery.cpp
@@ -283,7 +283,7 @@
 /// Keeps the stream, and new work for a while, away from the part that refused a path.
 void stream_delivery::avoid_fault(const layer_path& refused, const endpoint& at_fault)
 {
-    for (const path_part& part : refused) {
+    for (const path_stage& part : refused) {
         if (part.address == at_fault) {
             this->avoided.insert(part.id);
             avoid_after_refusal(this->context, part.id);
@@ -386,7 +386,7 @@
     if (!this->call.was_sent_again()) {
         this->sends.note_not_run();
     }
-    const path_part culprit = this->path.find_culprit(this->answer.at_fault);
+    const path_stage culprit = this->path.find_culprit(this->answer.at_fault);
     // A part that doesn't hold its layers will tell so in its entry before long; others are full for a
     // moment.
     avoid_after_refusal(this->context, culprit.id);
--- a/src/libs/delivery/streamrelay.cpp
+++ b/src/libs/delivery/streamrelay.cpp
@@ -256,7 +256,7 @@
         return;
     }
     if (failure.retry_after) {
-        failed_stage.load->note_asked_to_wait(now, *failure.retry_after);
+        failed_stage.load->note_retry_after(now, *failure.retry_after);
     } else {
         failed_stage.load->note_failure(now);
     }
--- a/src/libs/delivery/upstreamgate.cpp
+++ b/src/libs/delivery/upstreamgate.cpp
@@ -46,7 +46,7 @@
             continue;
         }
         if (!this->is_closed(id)) {
-            if (avoided.count(id) == 0 && this->context.loads.of(id).takes_work(now)) {
+            if (avoided.count(id) == 0 && this->context.loads.of(id).accepts_requests(now)) {
                 return std::nullopt;
             }
             continue;
--- a/src/libs/directory/upstreamdirectory.cpp
+++ b/src/libs/directory/upstreamdirectory.cpp
@@ -15,7 +15,7 @@
 
 bool upstream_directory::put(const discovered_upstream& upstream, time_point now)
 {
-    if (this->is_outlived(upstream)) {
+    if (this->is_superseded(upstream)) {
         return false;
     }
     const auto known = this->items.find(upstream.id);
@@ -26,16 +26,16 @@
     const bool is_new = known == this->items.end();
     const bool is_moved = !is_new && known->second.upstream.address != upstream.address;
     if (is_moved) {
-        this->leave_place(known->second.upstream, now);
+        this->release_address(known->second.upstream, now);
     }
     const std::vector<upstream_id> ended =
-        is_new || is_moved ? this->take_place(upstream, now) : std::vector<upstream_id>();
+        is_new || is_moved ? this->claim_address(upstream, now) : std::vector<upstream_id>();
     directory_entry& entry = this->items[upstream.id];
     entry.since = is_new ? now : entry.since;
     entry.is_lapsed = false;
     entry.upstream = upstream;
     ++this->changes;
-    this->tell_outlived(ended);
+    this->notify_superseded(ended);
     return true;
 }
 
@@ -50,41 +50,42 @@
     return true;
 }
 
-bool upstream_directory::is_outlived(const discovered_upstream& upstream) const
+bool upstream_directory::is_superseded(const discovered_upstream& upstream) const
 {
-    const directory_entry* namesake = this->find_named(upstream_name(upstream.id));
+    const directory_entry* namesake = this->find_by_name(upstream_name(upstream.id));
     if (namesake != nullptr && is_older_start(upstream.born, namesake->upstream.born)) {
         return true;
     }
-    const auto found = this->by_place.find({upstream.service, upstream.address});
-    if (found == this->by_place.end()) {
+    const auto found = this->by_address.find({upstream.service, upstream.address});
+    if (found == this->by_address.end()) {
         return false;
     }
-    const place_holder& holder = found->second;
-    return is_older_start(upstream.born, holder.born) || holder.ended.count(upstream.id) != 0;
+    const address_owner& holder = found->second;
+    return is_older_start(upstream.born, holder.born) || holder.superseded.count(upstream.id) != 0;
 }
 
-bool upstream_directory::is_younger(
-    const discovered_upstream& upstream, const place_holder& holder, time_point now)
+bool upstream_directory::is_newer_start(
+    const discovered_upstream& upstream, const address_owner& holder, time_point now)
 {
     if (upstream.born && holder.born) {
         return is_older_start(holder.born, upstream.born);
     }
-    return holder.since < now;
+    return holder.first_seen < now;
 }
 
-std::vector<upstream_id> upstream_directory::take_place(const discovered_upstream& upstream, time_point now)
+std::vector<upstream_id> upstream_directory::claim_address(
+    const discovered_upstream& upstream, time_point now)
 {
     std::vector<upstream_id> ended;
-    const directory_entry* namesake = this->find_named(upstream_name(upstream.id));
+    const directory_entry* namesake = this->find_by_name(upstream_name(upstream.id));
     if (namesake != nullptr && namesake->upstream.id != upstream.id) {
         ended.push_back(namesake->upstream.id);
     }
-    const auto [found, is_free] = this->by_place.try_emplace({upstream.service, upstream.address});
-    place_holder& holder = found->second;
-    if (!is_free && holder.id != upstream.id && is_younger(upstream, holder, now)) {
-        holder.ended[holder.id] = now;
-        const bool is_listed = !holder.left;
+    const auto [found, is_free] = this->by_address.try_emplace({upstream.service, upstream.address});
+    address_owner& holder = found->second;
+    if (!is_free && holder.id != upstream.id && is_newer_start(upstream, holder, now)) {
+        holder.superseded[holder.id] = now;
+        const bool is_listed = !holder.released_at;
         if (is_listed && (namesake == nullptr || namesake->upstream.id != holder.id)) {
             ended.push_back(holder.id);
         }
@@ -94,31 +95,31 @@
     }
     holder.id = upstream.id;
     holder.born = upstream.born;
-    holder.since = now;
-    holder.left.reset();
+    holder.first_seen = now;
+    holder.released_at.reset();
     this->by_name[upstream_name(upstream.id)] = upstream.id;
     return ended;
 }
 
-void upstream_directory::tell_outlived(const std::vector<upstream_id>& ended) const
+void upstream_directory::notify_superseded(const std::vector<upstream_id>& ended) const
 {
     for (const upstream_id& id : ended) {
-        if (this->on_outlived) {
-            this->on_outlived(id);
+        if (this->on_superseded) {
+            this->on_superseded(id);
         }
     }
 }
 
-void upstream_directory::end(const upstream_id& id, time_point now)
+void upstream_directory::mark_superseded(const upstream_id& id, time_point now)
 {
     const auto found = this->items.find(id);
     if (found == this->items.end()) {
         return;
     }
-    const place at{found->second.upstream.service, found->second.upstream.address};
+    const service_address at{found->second.upstream.service, found->second.upstream.address};
     this->drop(id, now);
-    this->by_place[at].ended[id] = now;
-    this->tell_outlived({id});
+    this->by_address[at].superseded[id] = now;
+    this->notify_superseded({id});
 }
 
 bool upstream_directory::is_store_disturbed(time_point now) const
@@ -132,7 +133,7 @@
     if (found == this->items.end()) {
         return;
     }
-    this->leave_place(found->second.upstream, now);
+    this->release_address(found->second.upstream, now);
     const auto name = this->by_name.find(upstream_name(id));
     if (name != this->by_name.end() && name->second == id) {
         this->by_name.erase(name);
@@ -141,22 +142,22 @@
     ++this->changes;
 }
 
-void upstream_directory::leave_place(const discovered_upstream& upstream, time_point now)
+void upstream_directory::release_address(const discovered_upstream& upstream, time_point now)
 {
-    const auto holder = this->by_place.find({upstream.service, upstream.address});
-    if (holder != this->by_place.end() && holder->second.id == upstream.id) {
-        holder->second.left = now;
+    const auto holder = this->by_address.find({upstream.service, upstream.address});
+    if (holder != this->by_address.end() && holder->second.id == upstream.id) {
+        holder->second.released_at = now;
     }
 }
 
-void upstream_directory::forget_ended(time_point now)
+void upstream_directory::remove_expired_starts(time_point now)
 {
     const auto is_long_ago = [now](time_point moment) { return now - moment >= ended_memory; };
-    for (auto& [at, holder] : this->by_place) {
-        std::erase_if(holder.ended, [&](const auto& item) { return is_long_ago(item.second); });
+    for (auto& [at, holder] : this->by_address) {
+        std::erase_if(holder.superseded, [&](const auto& item) { return is_long_ago(item.second); });
     }
-    std::erase_if(
-        this->by_place, [&](const auto& item) { return item.second.left && is_long_ago(*item.second.left); });
+    std::erase_if(this->by_address,
+        [&](const auto& item) { return item.second.released_at && is_long_ago(*item.second.released_at); });
 }
 
 void upstream_directory::remove(const upstream_id& id, time_point now)
@@ -195,7 +196,7 @@
 
 std::vector<upstream_id> upstream_directory::drop_lapsed(time_point now)
 {
-    this->forget_ended(now);
+    this->remove_expired_starts(now);
     std::vector<upstream_id> over;
     if (this->is_store_disturbed(now)) {
         return over;
@@ -217,7 +218,7 @@
     return found == this->items.end() ? nullptr : &found->second;
 }
 
-const directory_entry* upstream_directory::find_named(const std::string& name) const
+const directory_entry* upstream_directory::find_by_name(const std::string& name) const
 {
     const auto found = this->by_name.find(name);
     return found == this->by_name.end() ? nullptr : this->find(found->second);
@@ -225,8 +226,8 @@
 
 const directory_entry* upstream_directory::find_at(const service_id& service, const endpoint& address) const
 {
-    const auto found = this->by_place.find({service, address});
-    const bool is_there = found != this->by_place.end() && !found->second.left;
+    const auto found = this->by_address.find({service, address});
+    const bool is_there = found != this->by_address.end() && !found->second.released_at;
     return is_there ? this->find(found->second.id) : nullptr;
 }
 
--- a/src/libs/directory/upstreamdirectory.h
+++ b/src/libs/directory/upstreamdirectory.h
@@ -71,7 +71,7 @@
     explicit upstream_directory(
         duration lapse_grace, std::function<void(const upstream_id&)> on_outlived = nullptr)
         : lapse_grace(lapse_grace)
-        , on_outlived(std::move(on_outlived))
+        , on_superseded(std::move(on_outlived))
     {
     }
 
@@ -85,7 +85,7 @@
     /// An upstream is not to be used any more, whatever the store's state.
     void drop(const upstream_id& id, time_point now);
     /// Another upstream answered in place of this start, so it has ended.
-    void end(const upstream_id& id, time_point now);
+    void mark_superseded(const upstream_id& id, time_point now);
     /// Takes the whole list; what is not in it counts as removed. Returns whether anything changed.
     bool replace(const std::vector<discovered_upstream>& upstreams, time_point now);
     /// When the store last failed whoever reads the entries; nothing if it never has.
@@ -97,7 +97,7 @@
     /// Null if it isn't known.
     [[nodiscard]] const directory_entry* find(const upstream_id& id) const;
     /// The upstream that goes by that name; null if there is none.
-    [[nodiscard]] const directory_entry* find_named(const std::string& name) const;
+    [[nodiscard]] const directory_entry* find_by_name(const std::string& name) const;
     /// The youngest upstream of a service at that address; null if there is none.
     [[nodiscard]] const directory_entry* find_at(const service_id& service, const endpoint& address) const;
     [[nodiscard]] const std::map<upstream_id, directory_entry>& entries() const { return this->items; }
@@ -105,36 +105,36 @@
     [[nodiscard]] std::uint64_t change_count() const { return this->changes; }
 
 private:
-    using place = std::pair<service_id, endpoint>;
+    using service_address = std::pair<service_id, endpoint>;
     /// The youngest start that was known at a place; it is remembered for a while after it left the list.
-    struct place_holder
+    struct address_owner
     {
         upstream_id id;
         std::optional<start_moment> born;
-        time_point since{}; ///< first seen
-        std::optional<time_point> left; ///< nothing while it is in the list
-        std::map<upstream_id, time_point> ended; ///< older starts of the place, and since when they are
+        time_point first_seen{}; ///< first seen
+        std::optional<time_point> released_at; ///< nothing while it is in the list
+        std::map<upstream_id, time_point> superseded; ///< older starts of the place, and since when they are
     };
 
     /// True while a missing entry may only be the store's fault.
     [[nodiscard]] bool is_store_disturbed(time_point now) const;
     /// True if a younger start of the same name, or at the same address, is known.
-    [[nodiscard]] bool is_outlived(const discovered_upstream& upstream) const;
+    [[nodiscard]] bool is_superseded(const discovered_upstream& upstream) const;
     /// True if this start, which is not in the list, is younger than the holder of its place.
-    [[nodiscard]] static bool is_younger(
-        const discovered_upstream& upstream, const place_holder& holder, time_point now);
+    [[nodiscard]] static bool is_newer_start(
+        const discovered_upstream& upstream, const address_owner& holder, time_point now);
     /// The start takes its place; the older ones there, and the one of its name, end. Returns those of them
     /// that were in the list.
-    std::vector<upstream_id> take_place(const discovered_upstream& upstream, time_point now);
-    void tell_outlived(const std::vector<upstream_id>& ended) const;
-    void leave_place(const discovered_upstream& upstream, time_point now);
-    void forget_ended(time_point now);
+    std::vector<upstream_id> claim_address(const discovered_upstream& upstream, time_point now);
+    void notify_superseded(const std::vector<upstream_id>& ended) const;
+    void release_address(const discovered_upstream& upstream, time_point now);
+    void remove_expired_starts(time_point now);
 
     duration lapse_grace;
-    std::function<void(const upstream_id&)> on_outlived;
+    std::function<void(const upstream_id&)> on_superseded;
     std::map<upstream_id, directory_entry> items;
     std::unordered_map<std::string, upstream_id> by_name;
-    std::map<place, place_holder> by_place;
+    std::map<service_address, address_owner> by_address;
     std::optional<time_point> last_disturbed;
     std::uint64_t changes = 0;
 };
--- a/src/libs/engines/stepcodec.cpp
+++ b/src/libs/engines/stepcodec.cpp
@@ -11,7 +11,7 @@
 /// the end. The raw bytes are a hidden state of many kilobytes, which a CBOR library copies byte by byte.
 constexpr std::size_t length_bytes = 4;
 
-std::string to_message(const json& head, const std::string& raw)
+std::string build_message(const json& head, const std::string& raw)
 {
     std::string encoded;
     json::to_cbor(head, encoded);
@@ -24,13 +24,13 @@
 }
 
 /// A message taken apart.
-struct message_parts
+struct parsed_message
 {
     json head;
     std::string_view raw;
 };
 
-message_parts from_message(std::string_view message, const char* step)
+parsed_message parse_message(std::string_view message, const char* step)
 {
     std::size_t head_size = 0;
     for (std::size_t index = 0; index < length_bytes && index < message.size(); ++index) {
@@ -47,7 +47,7 @@
 auto decode_or_throw(const char* step, const std::string& bytes, const Decode& decode)
 {
     try {
-        return decode(from_message(bytes, step));
+        return decode(parse_message(bytes, step));
     } catch (const json::exception& malformed) {
         throw error({step, ""}, std::string("malformed: ") + malformed.what());
     }
@@ -72,12 +72,12 @@
         head["generated"] = step.generated;
         head["most_tokens"] = step.most_tokens;
     }
-    return to_message(head, step.input);
+    return build_message(head, step.input);
 }
 
 step_request decode_step_request(const std::string& bytes)
 {
-    return decode_or_throw("read step request", bytes, [](const message_parts& message) {
+    return decode_or_throw("read step request", bytes, [](const parsed_message& message) {
         const json& head = message.head;
         step_request step;
         step.stream = stream_id(head.at("stream").get<std::string>());
@@ -113,12 +113,12 @@
     if (answer.streams_running) {
         head["streams_running"] = *answer.streams_running;
     }
-    return to_message(head, answer.output);
+    return build_message(head, answer.output);
 }
 
 step_answer decode_step_answer(const std::string& bytes)
 {
-    return decode_or_throw("read step answer", bytes, [](const message_parts& message) {
+    return decode_or_throw("read step answer", bytes, [](const parsed_message& message) {
         const json& head = message.head;
         step_answer answer;
         answer.stream = stream_id(head.at("stream").get<std::string>());
--- a/src/libs/routing/chainpolicy.cpp
+++ b/src/libs/routing/chainpolicy.cpp
@@ -14,20 +14,20 @@
 constexpr cost unreachable = std::numeric_limits<cost>::infinity();
 
 /// Which stages may be used in one search.
-enum class breaker_rule { respect, ignore };
+enum class open_breaker_policy { respect, ignore };
 
-bool is_usable(const stage_option& stage, const chain_request& request, breaker_rule rule)
+bool is_usable(const stage_option& stage, const chain_request& request, open_breaker_policy rule)
 {
-    if (request.avoid.contains(stage.holder) || stage.load->wants_no_work(request.now)) {
+    if (request.avoid.contains(stage.holder) || stage.load->is_excluded(request.now)) {
         return false;
     }
-    return rule == breaker_rule::ignore || stage.load->is_available(request.now);
+    return rule == open_breaker_policy::ignore || stage.load->is_available(request.now);
 }
 
 /// The cheapest chain: a shortest path over the layers, each stage an edge from its first layer to behind its
 /// last.
-std::optional<chain> find_cheapest_chain(
-    const model_routes& routes, const chain_request& request, breaker_rule rule, const stage_cost& cost_of)
+std::optional<chain> find_cheapest_chain(const model_routes& routes, const chain_request& request,
+    open_breaker_policy rule, const stage_cost& cost_of)
 {
     std::vector<cost> best(routes.layers + 1, unreachable);
     std::vector<const stage_option*> arrived_by(routes.layers + 1, nullptr);
@@ -62,10 +62,11 @@
 std::optional<chain> find_chain(
     const model_routes& routes, const chain_request& request, const stage_cost& cost_of)
 {
-    if (std::optional<chain> found = find_cheapest_chain(routes, request, breaker_rule::respect, cost_of)) {
+    if (std::optional<chain> found =
+            find_cheapest_chain(routes, request, open_breaker_policy::respect, cost_of)) {
         return found;
     }
-    return find_cheapest_chain(routes, request, breaker_rule::ignore, cost_of);
+    return find_cheapest_chain(routes, request, open_breaker_policy::ignore, cost_of);
 }
 
 /// The expected time of one decode step: the holder's step time, stretched when its batch is over-full, and
@@ -152,7 +153,7 @@
     std::vector<const service_option*> usable;
     std::vector<const service_option*> paused;
     for (const service_option& option : options) {
-        if (!request.avoid.contains(option.name) && !option.load->wants_no_work(request.now)) {
+        if (!request.avoid.contains(option.name) && !option.load->is_excluded(request.now)) {
             (option.load->is_available(request.now) ? usable : paused).push_back(&option);
         }
     }
--- a/src/libs/routing/partloads.h
+++ b/src/libs/routing/engineloads.h
@@ -11,14 +11,14 @@
 namespace sailtiller {
 
 /// What this host knows of the work at one upstream.
-struct part_load
+struct engine_load
 {
     double token_layers = 0; ///< cache that this host's requests hold there: tokens times layers
     unsigned requests = 0; ///< of this host, that pass through it
-    double other_token_layers = 0; ///< of the other hosts, as they told lately
-    unsigned other_requests = 0;
+    double remote_token_layers = 0; ///< of the other hosts, as they told lately
+    unsigned remote_requests = 0;
     time_point failed_until{}; ///< it failed this host's requests; nothing new goes there before this
-    time_point told_until{}; ///< the same on the word of another host
+    time_point reported_until{}; ///< the same on the word of another host
     time_point avoided_until{}; ///< it refused a request, for a reason that may pass soon
     time_point unwilling_until{}; ///< it refused this host's requests though it had room
     unsigned unwilling_count = 0; ///< how often, since it last took one
@@ -28,22 +28,22 @@
     /// True while it is believed to be dead or out of reach, by this host or another one.
     [[nodiscard]] bool has_failed(time_point now) const;
     /// True if new requests may go there.
-    [[nodiscard]] bool takes_work(time_point now) const;
+    [[nodiscard]] bool accepts_requests(time_point now) const;
 };
 
 /// What other hosts' requests hold at an upstream.
-struct upstream_share
+struct upstream_usage
 {
     double token_layers = 0;
     unsigned requests = 0;
 };
 
 /// The work at the upstreams: this host's own counts, and what the other hosts tell.
-class part_loads
+class engine_loads
 {
 public:
     /// What is known of one; of an unknown one, that nothing is there.
-    [[nodiscard]] const part_load& of(const upstream_id& id) const;
+    [[nodiscard]] const engine_load& of(const upstream_id& id) const;
     /// One request more passes through it, with so many tokens times layers.
     void add(const upstream_id& id, double token_layers);
     /// One request less; `token_layers` as in `add`.
@@ -63,15 +63,15 @@
     /// It serves a request.
     void note_served(const upstream_id& id);
     /// The same as `suspend` on the word of another host; it isn't passed on.
-    void suspend_on_word(const upstream_id& id, time_point until);
+    void suspend_on_report(const upstream_id& id, time_point until);
     /// What the other hosts hold there. Those that are not named hold nothing.
-    void set_others(const std::map<upstream_id, upstream_share>& shares);
+    void set_remote_usage(const std::map<upstream_id, upstream_usage>& shares);
     /// Hosts of whose work nothing is known yet; each is taken to do as much as this one.
-    void set_unheard_hosts(std::size_t count) { this->unheard_hosts = static_cast<double>(count); }
+    void set_unreported_hosts(std::size_t count) { this->unreported_hosts = static_cast<double>(count); }
     /// What all hosts' requests hold at an upstream: tokens times layers.
-    [[nodiscard]] double all_token_layers(const part_load& load) const;
+    [[nodiscard]] double total_token_layers(const engine_load& load) const;
     /// Requests of all hosts that pass through an upstream.
-    [[nodiscard]] double all_requests(const part_load& load) const;
+    [[nodiscard]] double total_requests(const engine_load& load) const;
     /// It is this many times slower than its card should be.
     void set_pace(const upstream_id& id, double pace);
     /// It has answered, so it is there.
@@ -79,11 +79,11 @@
     /// Forgets an upstream that is gone and has no work of this host's.
     void forget_idle(const std::function<bool(const upstream_id&)>& is_known);
 
-    [[nodiscard]] const std::unordered_map<upstream_id, part_load>& all() const { return this->loads; }
+    [[nodiscard]] const std::unordered_map<upstream_id, engine_load>& all() const { return this->loads; }
 
 private:
-    std::unordered_map<upstream_id, part_load> loads;
-    double unheard_hosts = 0;
+    std::unordered_map<upstream_id, engine_load> loads;
+    double unreported_hosts = 0;
 };
 
 } // namespace sailtiller
--- a/src/libs/routing/layerpath.cpp
+++ b/src/libs/routing/layerpath.cpp
@@ -18,19 +18,19 @@
 constexpr double entry_weight = 20;
 /// How strongly the square of a pipe's use raises the price of a crossing: half used, it is eleven times
 /// dearer.
-constexpr double used_pipe_weight = 40;
+constexpr double pipe_utilization_weight = 40;
 /// Cost in milliseconds for each layer of an upstream whose room is used up; it grows with the square of the
 /// share in use. A stream's length matters less than that nothing is preempted, so this goes before speed.
-constexpr double used_room_ms = 80;
+constexpr double full_capacity_ms = 80;
 /// Beyond this share of the room, an upstream would preempt requests, so it is taken only where nothing else
 /// holds the layer.
-constexpr double full_share = 0.85;
-constexpr double full_ms = 20'000;
+constexpr double preemption_utilization = 0.85;
+constexpr double preemption_cost_ms = 20'000;
 /// How steeply the price of a slot grows with the share that is taken: a tenth of that of used-up room at
 /// three quarters.
-constexpr double slot_price_power = 8;
+constexpr double slot_cost_exponent = 8;
 /// Engines refuse longer paths.
-constexpr std::size_t most_path_parts = 32;
+constexpr std::size_t max_path_stages = 32;
 constexpr double milliseconds_per_second = 1000;
 
 /// An upstream that may run some layers, with its predicted cost.
@@ -41,8 +41,8 @@
     layer_span runs; ///< layers that it may run
     layer_span kept; ///< of these, what it runs already for the request that is led elsewhere
     double layer_ms = 0; ///< one layer for the whole request
-    double kept_layer_ms = 0; ///< one layer that it runs already
-    double slot_ms = 0; ///< to begin there
+    double reused_layer_ms = 0; ///< one layer that it runs already
+    double entry_ms = 0; ///< to begin there
 };
 
 /// A factor for the cost of one upstream. Hosts hear of each other's work only every second or two, and of
@@ -50,7 +50,7 @@
 /// Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11, 2000). Of two upstreams, one that costs half
 /// as much is drawn four times in five. With 59 hosts, all took one path for a second or more; drawn,
 /// requests that had their first event in time on a day without faults rose from 88.9 to 99.9 in 100.
-double draw_factor(const random_function& random)
+double draw_cost_factor(const random_function& random)
 {
     if (!random) {
         return 1;
@@ -63,22 +63,22 @@
 }
 
 /// What all hosts' requests take of an upstream.
-struct upstream_use
+struct engine_usage
 {
     double token_layers = 0;
     double requests = 0;
     double pace = 1;
 };
 
-upstream_use use_of(const part_loads& loads, const upstream_id& id)
+engine_usage usage_of(const engine_loads& loads, const upstream_id& id)
 {
-    const part_load& load = loads.of(id);
-    return {loads.all_token_layers(load), loads.all_requests(load), load.pace};
+    const engine_load& load = loads.of(id);
+    return {loads.total_token_layers(load), loads.total_requests(load), load.pace};
 }
 
 /// Time to read the prompt through one layer.
-double predict_prompt_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use,
-    const path_question& question)
+double predict_prompt_ms(
+    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
 {
     if (profile.prompt_tokens_per_s <= 0) {
         return 0;
@@ -89,36 +89,36 @@
 }
 
 /// Time of one token's step in one layer.
-double predict_step_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use)
+double predict_step_ms(const engine_profile& profile, const card_kind& card, const engine_usage& use)
 {
     const double step_ms = profile.step_ms * card.step_factor + use.requests * profile.step_ms_per_request;
     return step_ms * use.pace / profile.layers;
 }
 
 /// Time of the answer's steps in one layer.
-double predict_steps_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use,
-    const path_question& question)
+double predict_steps_ms(
+    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
 {
     return question.answer_tokens * predict_step_ms(profile, card, use);
 }
 
 /// The share of an upstream's room that is used once it holds `wanted` more.
-double share_in_use(const engine_profile& profile, const card_kind& card, const discovered_upstream& upstream,
-    const upstream_use& use, double wanted)
+double utilization_with(const engine_profile& profile, const card_kind& card,
+    const discovered_upstream& upstream, const engine_usage& use, double wanted)
 {
-    const double room = token_layer_room(profile, card, upstream.held.count());
+    const double room = token_layer_capacity(profile, card, upstream.held.count());
     return room <= 0 ? 1 : (use.token_layers + wanted) / room;
 }
 
-double price_room(const engine_profile& profile, const card_kind& card, const discovered_upstream& upstream,
-    const upstream_use& use, const path_question& question)
+double capacity_cost(const engine_profile& profile, const card_kind& card,
+    const discovered_upstream& upstream, const engine_usage& use, const path_query& question)
 {
     const double wanted = (question.prompt_tokens + question.answer_tokens) * upstream.held.count();
-    const double share = share_in_use(profile, card, upstream, use, wanted);
+    const double share = utilization_with(profile, card, upstream, use, wanted);
     // A running request that is led elsewhere is short of time; its tokens were there before, so it rather
     // squeezes in than goes through the pipe to another hall.
-    const bool avoids_full = question.present.empty() && share > full_share;
-    return used_room_ms * share * share + (avoids_full ? full_ms * share : 0);
+    const bool avoids_full = question.current_path.empty() && share > preemption_utilization;
+    return full_capacity_ms * share * share + (avoids_full ? preemption_cost_ms * share : 0);
 }
 
 /// Price of beginning at an upstream: the first of a path holds a slot for the whole of a request. By room
@@ -126,27 +126,27 @@
 /// sends. A queue for that many forms only when nearly all are taken, and slow upstreams hold theirs for
 /// longer, so the price stays low until then: with the square of the share, requests were driven to slow
 /// paths (credit earned before 6 hosts on five days of high load 0.04 lower than without a price).
-double price_slot(const engine_profile& profile, const upstream_use& use)
+double slot_cost(const engine_profile& profile, const engine_usage& use)
 {
     if (profile.request_slots == 0) {
         return 0;
     }
     const double share = (use.requests + 1) / profile.request_slots;
-    return profile.layers * used_room_ms * std::pow(share, slot_price_power);
+    return profile.layers * full_capacity_ms * std::pow(share, slot_cost_exponent);
 }
 
 class path_search
 {
 public:
-    path_search(const engine_profile& profile, const upstream_directory& directory, const part_loads& loads,
-        const path_question& question)
+    path_search(const engine_profile& profile, const upstream_directory& directory, const engine_loads& loads,
+        const path_query& question)
         : profile(profile)
         , question(question)
     {
         for (const auto& [id, entry] : directory.entries()) {
-            this->add_candidate(entry.upstream, loads.of(id), use_of(loads, id));
+            this->add_candidate(entry.upstream, loads.of(id), usage_of(loads, id));
         }
-        this->price_hops();
+        this->compute_hop_costs();
     }
 
     std::optional<layer_path> run()
@@ -170,7 +170,7 @@
         std::size_t previous = 0; ///< index in the layer before
     };
 
-    void add_candidate(const discovered_upstream& upstream, const part_load& load, const upstream_use& use)
+    void add_candidate(const discovered_upstream& upstream, const engine_load& load, const engine_usage& use)
     {
         if (upstream.service != this->question.service) {
             return;
@@ -181,20 +181,20 @@
         }
         candidate item;
         item.upstream = &upstream;
-        item.kept = this->find_kept(upstream, load);
-        const bool takes_work = !upstream.is_leaving && load.takes_work(this->question.now)
+        item.kept = this->find_reusable_span(upstream, load);
+        const bool accepts_requests = !upstream.is_leaving && load.accepts_requests(this->question.now)
             && this->question.avoided.count(upstream.id) == 0;
-        item.runs = takes_work && upstream.held.contains(item.kept) ? upstream.held : item.kept;
+        item.runs = accepts_requests && upstream.held.contains(item.kept) ? upstream.held : item.kept;
         if (item.runs.is_empty()) {
             return;
         }
-        item.kept_layer_ms = predict_steps_ms(this->profile, *card, use, this->question);
-        const double predicted_ms = item.kept_layer_ms
+        item.reused_layer_ms = predict_steps_ms(this->profile, *card, use, this->question);
+        const double predicted_ms = item.reused_layer_ms
             + predict_prompt_ms(this->profile, *card, use, this->question)
-            + price_room(this->profile, *card, upstream, use, this->question);
-        const double draw = draw_factor(this->question.random);
+            + capacity_cost(this->profile, *card, upstream, use, this->question);
+        const double draw = draw_cost_factor(this->question.random);
         item.layer_ms = predicted_ms * draw;
-        item.slot_ms = draw * price_slot(this->profile, use);
+        item.entry_ms = draw * slot_cost(this->profile, use);
         item.hall = this->find_hall(upstream.data_hall);
         this->candidates.push_back(item);
     }
@@ -211,7 +211,7 @@
     }
 
     /// Prices each way between two halls once; the search compares them for every layer and pair of holders.
-    void price_hops()
+    void compute_hop_costs()
     {
         for (const data_hall_id& from : this->halls) {
             std::vector<double>& row = this->hop_costs.emplace_back();
@@ -223,13 +223,14 @@
 
     [[nodiscard]] bool is_head(const upstream_id& id) const
     {
-        return !this->question.present.empty() && this->question.present.front().id == id;
+        return !this->question.current_path.empty() && this->question.current_path.front().id == id;
     }
 
     /// What the upstream may go on to run for the request that is led elsewhere.
-    [[nodiscard]] layer_span find_kept(const discovered_upstream& upstream, const part_load& load) const
+    [[nodiscard]] layer_span find_reusable_span(
+        const discovered_upstream& upstream, const engine_load& load) const
     {
-        for (const path_part& part : this->question.present) {
+        for (const path_stage& part : this->question.current_path) {
             if (part.id != upstream.id) {
                 continue;
             }
@@ -250,19 +251,19 @@
         const double transfer_ms = this->profile.hall_pipe_mbps <= 0
             ? 0
             : bits / (this->profile.hall_pipe_mbps * milliseconds_per_second);
-        const double share = this->question.pipe_share ? this->question.pipe_share(from, to) : 0;
+        const double share = this->question.pipe_utilization ? this->question.pipe_utilization(from, to) : 0;
         return crossing_weight * (transfer_ms + tokens * engine_hop_ms)
-            * (1 + used_pipe_weight * share * share);
+            * (1 + pipe_utilization_weight * share * share);
     }
 
     [[nodiscard]] bool may_run(const candidate& item, unsigned layer) const
     {
-        if (this->question.present.empty()) {
-            const bool leads = layer == 0 && this->question.may_lead;
-            return item.runs.holds(layer) && (!leads || this->question.may_lead(item.upstream->id));
+        if (this->question.current_path.empty()) {
+            const bool leads = layer == 0 && this->question.may_be_head;
+            return item.runs.holds(layer) && (!leads || this->question.may_be_head(item.upstream->id));
         }
         // The head keeps its layers for the running request, also those that it has given up since.
-        const layer_span& first = this->question.present.front().span;
+        const layer_span& first = this->question.current_path.front().span;
         return this->is_head(item.upstream->id) ? first.holds(layer)
                                                 : item.runs.holds(layer) && !first.holds(layer);
     }
@@ -276,7 +277,7 @@
             }
             step best = layer == 0 ? step{index, this->entry_cost(item), 0}
                                    : this->find_cheapest_step(table[layer - 1], index);
-            best.cost += item.kept.holds(layer) ? item.kept_layer_ms : item.layer_ms;
+            best.cost += item.kept.holds(layer) ? item.reused_layer_ms : item.layer_ms;
             table[layer].push_back(best);
         }
     }
@@ -304,7 +305,7 @@
             return 0; // the running request stays there
         }
         const bool is_here = item.upstream->data_hall == this->question.origin;
-        return item.slot_ms + (is_here ? 0 : entry_weight * this->question.answer_tokens * engine_hop_ms);
+        return item.entry_ms + (is_here ? 0 : entry_weight * this->question.answer_tokens * engine_hop_ms);
     }
 
     [[nodiscard]] layer_path trace(const std::vector<std::vector<step>>& table) const
@@ -340,7 +341,7 @@
     }
 
     const engine_profile& profile;
-    const path_question& question;
+    const path_query& question;
     std::vector<candidate> candidates;
     std::vector<data_hall_id> halls; ///< of the candidates
     std::vector<std::vector<double>> hop_costs; ///< in milliseconds, from hall to hall
@@ -348,7 +349,7 @@
 
 } // namespace
 
-double token_layer_room(const engine_profile& profile, const card_kind& card, unsigned layers)
+double token_layer_capacity(const engine_profile& profile, const card_kind& card, unsigned layers)
 {
     const double left_mb = card.memory_mb - layers * profile.layer_mb;
     return profile.token_layer_mb() <= 0 ? 0 : std::max(0.0, left_mb / profile.token_layer_mb());
@@ -361,7 +362,7 @@
         return duration::zero();
     }
     double layers = 0; // weighed by how slowly each card reads
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         const directory_entry* entry = directory.find(part.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         layers += part.span.count() * (card == nullptr ? 1 : card->prompt_factor);
@@ -371,14 +372,14 @@
 }
 
 duration predict_token_time(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const layer_path& path)
+    const engine_loads& loads, const layer_path& path)
 {
     double sum_ms = 0;
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         const directory_entry* entry = directory.find(part.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
-            sum_ms += part.span.count() * predict_step_ms(profile, *card, use_of(loads, part.id));
+            sum_ms += part.span.count() * predict_step_ms(profile, *card, usage_of(loads, part.id));
         }
         sum_ms += engine_hop_ms;
     }
@@ -389,7 +390,7 @@
     const std::function<void(const data_hall_id& from, const data_hall_id& to)>& visit)
 {
     const data_hall_id* last = nullptr;
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         const directory_entry* entry = directory.find(part.id);
         if (entry == nullptr) {
             continue;
@@ -409,37 +410,37 @@
     return count;
 }
 
-double predict_fullest_share(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const layer_path& path, double tokens)
+double predict_peak_utilization(const engine_profile& profile, const upstream_directory& directory,
+    const engine_loads& loads, const layer_path& path, double tokens)
 {
     double fullest = 0;
-    for (const path_part& part : path) {
+    for (const path_stage& part : path) {
         const directory_entry* entry = directory.find(part.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
             fullest = std::max(fullest,
-                share_in_use(
-                    profile, *card, entry->upstream, use_of(loads, part.id), tokens * part.span.count()));
+                utilization_with(
+                    profile, *card, entry->upstream, usage_of(loads, part.id), tokens * part.span.count()));
         }
     }
     return fullest;
 }
 
-double used_share_of(
-    const engine_profile& profile, const part_loads& loads, const discovered_upstream& upstream)
+double token_utilization_of(
+    const engine_profile& profile, const engine_loads& loads, const discovered_upstream& upstream)
 {
     const card_kind* card = profile.find_card(upstream.card);
-    return card == nullptr ? 1 : share_in_use(profile, *card, upstream, use_of(loads, upstream.id), 0);
+    return card == nullptr ? 1 : utilization_with(profile, *card, upstream, usage_of(loads, upstream.id), 0);
 }
 
 std::optional<layer_path> find_layer_path(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const path_question& question)
+    const engine_loads& loads, const path_query& question)
 {
     if (profile.layers == 0) {
         return std::nullopt;
     }
     std::optional<layer_path> path = path_search(profile, directory, loads, question).run();
-    return path && path->size() <= most_path_parts ? path : std::nullopt;
+    return path && path->size() <= max_path_stages ? path : std::nullopt;
 }
 
 } // namespace sailtiller
--- a/src/libs/routing/pipemeter.cpp
+++ b/src/libs/routing/pipemeter.cpp
@@ -24,7 +24,7 @@
     item = {decayed(item, now) + bits, now};
 }
 
-double pipe_meter::used_share(
+double pipe_meter::utilization(
     const data_hall_id& from, const data_hall_id& to, double bits_per_second, time_point now) const
 {
     const auto found = this->uses.find(pair_of(from, to));
--- a/src/libs/routing/pipemeter.h
+++ b/src/libs/routing/pipemeter.h
@@ -21,7 +21,7 @@
     /// A request moved that many bits from one hall to the other.
     void note(const data_hall_id& from, const data_hall_id& to, double bits, time_point now);
     /// Share of the pipe's rate in use, over all hosts.
-    [[nodiscard]] double used_share(
+    [[nodiscard]] double utilization(
         const data_hall_id& from, const data_hall_id& to, double bits_per_second, time_point now) const;
 
 private:
--- a/src/libs/routing/retrybudget.cpp
+++ b/src/libs/routing/retrybudget.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 /// Retries that a quiet host may make at once, so that a lone failure is always retried.
-constexpr double least_reserve = 10.0;
+constexpr double min_reserve = 10.0;
 /// Retries kept for each request in flight: a holder of a quarter of a host's streams may die at once.
-constexpr double reserve_a_request = 0.25;
+constexpr double reserve_per_request = 0.25;
 
 } // namespace
 
 retry_budget::retry_budget(double ratio)
     : ratio(ratio)
-    , balance(least_reserve)
+    , balance(min_reserve)
 {
 }
 
-double retry_budget::most_kept() const
+double retry_budget::max_balance() const
 {
-    return least_reserve + reserve_a_request * static_cast<double>(this->in_flight);
+    return min_reserve + reserve_per_request * static_cast<double>(this->in_flight);
 }
 
 void retry_budget::note_first_attempt()
 {
     ++this->in_flight;
-    this->balance = std::min(this->most_kept(), this->balance + this->ratio);
+    this->balance = std::min(this->max_balance(), this->balance + this->ratio);
 }
 
 void retry_budget::note_finished()
--- a/src/libs/routing/retrybudget.h
+++ b/src/libs/routing/retrybudget.h
@@ -21,7 +21,7 @@
     [[nodiscard]] bool take_retry();
 
 private:
-    [[nodiscard]] double most_kept() const;
+    [[nodiscard]] double max_balance() const;
 
     double ratio;
     double balance;
--- a/src/libs/routing/upstreamload.cpp
+++ b/src/libs/routing/upstreamload.cpp
@@ -59,11 +59,12 @@
     ++this->pauses_in_a_row;
 }
 
-void upstream_load::note_asked_to_wait(time_point now, duration wait)
+void upstream_load::note_retry_after(time_point now, duration wait)
 {
-    this->wait_end = std::max(this->wait_end, now + std::min(wait, this->settings.longest_asked_pause));
+    this->retry_after_end =
+        std::max(this->retry_after_end, now + std::min(wait, this->settings.max_retry_after));
     this->is_tripped = true;
-    this->pause_end = std::max(this->pause_end, this->wait_end);
+    this->pause_end = std::max(this->pause_end, this->retry_after_end);
 }
 
 void upstream_load::note_report(time_point now, std::uint32_t streams_running)
@@ -82,7 +83,7 @@
 
 bool upstream_load::is_available(time_point now) const
 {
-    if (this->wants_no_work(now)) {
+    if (this->is_excluded(now)) {
         return false;
     }
     switch (this->state(now)) {
--- a/src/libs/routing/upstreamload.h
+++ b/src/libs/routing/upstreamload.h
@@ -14,7 +14,7 @@
     std::uint32_t failures_to_open = 3; ///< in a row, without a success between them
     duration first_pause = std::chrono::seconds(1);
     duration longest_pause = std::chrono::seconds(30);
-    duration longest_asked_pause = std::chrono::minutes(10); ///< bound on an upstream's own Retry-After
+    duration max_retry_after = std::chrono::minutes(10); ///< bound on an upstream's own Retry-After
 };
 
 enum class breaker_state {
@@ -36,7 +36,7 @@
     /// A failure that speaks against the upstream: no connection, no answer in time, a server error.
     void note_failure(time_point now);
     /// The upstream asked to be left alone (429 or 503 with Retry-After). Only time ends that.
-    void note_asked_to_wait(time_point now, duration wait);
+    void note_retry_after(time_point now, duration wait);
     /// The upstream reported its own load; hints age and are dropped when old.
     void note_report(time_point now, std::uint32_t streams_running);
     /// The upstream is leaving, or is back; while it leaves it gets no new work, whatever the breakers say.
@@ -46,7 +46,10 @@
     [[nodiscard]] breaker_state state(time_point now) const;
     /// True if the upstream leaves or has asked to be left alone: nothing new goes there, whatever the
     /// breakers say.
-    [[nodiscard]] bool wants_no_work(time_point now) const { return this->leaving || now < this->wait_end; }
+    [[nodiscard]] bool is_excluded(time_point now) const
+    {
+        return this->leaving || now < this->retry_after_end;
+    }
     /// True if a new request may go there now: closed, or half open with no probe under way.
     [[nodiscard]] bool is_available(time_point now) const;
     [[nodiscard]] std::uint32_t in_flight() const { return this->own_in_flight; }
@@ -63,7 +66,7 @@
     bool is_tripped = false;
     bool leaving = false;
     time_point pause_end{};
-    time_point wait_end{}; ///< of the wait that the upstream asked for
+    time_point retry_after_end{}; ///< of the wait that the upstream asked for
     std::optional<duration> smoothed_time;
     std::uint32_t reported_streams = 0;
     std::optional<time_point> reported_at;
--- a/src/libs/routing/upstreampauses.cpp
+++ b/src/libs/routing/upstreampauses.cpp
@@ -8,18 +8,18 @@
 void upstream_pauses::note(const upstream_id& id, duration pause, time_point now)
 {
     if (this->ends.count(id) == 0) {
-        this->make_room(now);
+        this->evict_if_full(now);
     }
     time_point& end = this->ends[id];
     end = std::max(end, now + std::min(pause, this->settings.longest_pause));
 }
 
-void upstream_pauses::make_room(time_point now)
+void upstream_pauses::evict_if_full(time_point now)
 {
     if (this->ends.size() < this->settings.most_records) {
         return;
     }
-    this->tidy(now);
+    this->remove_expired(now);
     if (this->ends.size() < this->settings.most_records) {
         return;
     }
@@ -46,7 +46,7 @@
         this->ends.begin(), this->ends.end(), [now](const auto& item) { return item.second > now; }));
 }
 
-void upstream_pauses::tidy(time_point now)
+void upstream_pauses::remove_expired(time_point now)
 {
     std::erase_if(this->ends, [now](const auto& item) { return item.second <= now; });
 }
--- a/src/libs/routing/upstreampauses.h
+++ b/src/libs/routing/upstreampauses.h
@@ -36,10 +36,10 @@
     /// True if nothing is remembered.
     [[nodiscard]] bool is_empty() const { return this->ends.empty(); }
     /// Forgets pauses that are over.
-    void tidy(time_point now);
+    void remove_expired(time_point now);
 
 private:
-    void make_room(time_point now);
+    void evict_if_full(time_point now);
 
     upstream_pauses_settings settings;
     std::unordered_map<upstream_id, time_point> ends;
--- a/src/libs/site/siteknowledge.cpp
+++ b/src/libs/site/siteknowledge.cpp
@@ -171,13 +171,13 @@
 void site_knowledge::take_out(
     const std::string& name, const std::string& reason, const std::function<void(const upstream_id&)>& take)
 {
-    const directory_entry* known = this->directory.find_named(name);
+    const directory_entry* known = this->directory.find_by_name(name);
     if (known == nullptr) {
         return;
     }
     const upstream_id id = known->upstream.id; // a copy: the entry may end with it
     take(id);
-    const bool is_kept = this->directory.find_named(name) != nullptr;
+    const bool is_kept = this->directory.find_by_name(name) != nullptr;
     if (!is_kept) {
         this->past.note_ended(id, this->hooks.now());
     }
@@ -303,7 +303,7 @@
 
 void site_knowledge::note_ended(const upstream_id& id)
 {
-    this->directory.end(id, this->hooks.now());
+    this->directory.mark_superseded(id, this->hooks.now());
 }
 
 bool site_knowledge::are_entries_old() const
--- a/tests/auto/delivery/deliverybed.h
+++ b/tests/auto/delivery/deliverybed.h
@@ -62,7 +62,7 @@
     time_point now{std::chrono::seconds(1000)};
     timer_queue timers;
     upstream_directory directory{std::chrono::seconds(2)};
-    part_loads loads;
+    engine_loads loads;
     retry_allowance retries{{.ratio = 1, .slack = 100, .window = std::chrono::seconds(10)}};
     pipe_meter pipes;
     crash_suspects suspects;
--- a/tests/auto/delivery/tst_servicecall.cpp
+++ b/tests/auto/delivery/tst_servicecall.cpp
@@ -79,7 +79,7 @@
 TEST_F(service_call_test, a_call_goes_nowhere_while_all_upstreams_have_asked_for_a_wait)
 {
     for (const service_option& option : this->options) {
-        option.load->note_asked_to_wait(this->now, 3s);
+        option.load->note_retry_after(this->now, 3s);
     }
     this->start(true);
     EXPECT_TRUE(this->sent_to.empty());
--- a/tests/auto/delivery/tst_streamdelivery.cpp
+++ b/tests/auto/delivery/tst_streamdelivery.cpp
@@ -185,27 +185,27 @@
     this->start();
     give_head(this->last_send(), 503, {{"id", "r1"}, {"not-run", "1"}, {"at", "10.0.0.1:2"}});
     end(this->last_send());
-    const part_load& load = this->loads.of(upstream_id("tail"));
-    EXPECT_FALSE(load.takes_work(this->now + 1499ms));
-    EXPECT_TRUE(load.takes_work(this->now + 1500ms));
+    const engine_load& load = this->loads.of(upstream_id("tail"));
+    EXPECT_FALSE(load.accepts_requests(this->now + 1499ms));
+    EXPECT_TRUE(load.accepts_requests(this->now + 1500ms));
     EXPECT_GT(load.unwilling_until, this->now) << "others are told";
     this->pass(1500ms);
     this->start();
     give_head(this->last_send(), 503, {{"id", "r1"}, {"not-run", "1"}, {"at", "10.0.0.1:2"}});
     end(this->last_send());
-    EXPECT_FALSE(load.takes_work(this->now + 2999ms)) << "it did so again";
+    EXPECT_FALSE(load.accepts_requests(this->now + 2999ms)) << "it did so again";
 }
 
 TEST_F(stream_delivery_test, an_engine_that_is_full_is_tried_again_soon)
 {
     // Six tenths of its room of 20,000 tokens times layers.
-    this->loads.set_others({{upstream_id("tail"), {12'000, 3}}});
+    this->loads.set_remote_usage({{upstream_id("tail"), {12'000, 3}}});
     this->start();
     give_head(this->last_send(), 503, {{"id", "r1"}, {"not-run", "1"}, {"at", "10.0.0.1:2"}});
     end(this->last_send());
-    const part_load& load = this->loads.of(upstream_id("tail"));
-    EXPECT_FALSE(load.takes_work(this->now + 249ms));
-    EXPECT_TRUE(load.takes_work(this->now + 250ms));
+    const engine_load& load = this->loads.of(upstream_id("tail"));
+    EXPECT_FALSE(load.accepts_requests(this->now + 249ms));
+    EXPECT_TRUE(load.accepts_requests(this->now + 250ms));
 }
 
 TEST_F(stream_delivery_test, is_refused_truthfully_and_soon_when_a_layer_has_no_holder)
@@ -787,7 +787,7 @@
 TEST_F(stream_delivery_test, an_engine_that_fails_streams_in_a_row_is_passed_by_and_others_are_told)
 {
     this->retries = retry_allowance({.ratio = 0, .slack = 0, .window = 10s});
-    const auto load = [this]() -> const part_load& { return this->loads.of(upstream_id("head")); };
+    const auto load = [this]() -> const engine_load& { return this->loads.of(upstream_id("head")); };
     const auto fail_one = [this] {
         const std::size_t before = this->sends.size();
         this->start();
@@ -796,14 +796,14 @@
         end(this->last_send());
     };
     fail_one();
-    EXPECT_TRUE(load().takes_work(this->now)) << "the request itself may be the cause";
+    EXPECT_TRUE(load().accepts_requests(this->now)) << "the request itself may be the cause";
     fail_one();
-    EXPECT_FALSE(load().takes_work(this->now + 1499ms));
+    EXPECT_FALSE(load().accepts_requests(this->now + 1499ms));
     EXPECT_GT(load().unwilling_until, this->now) << "others are told";
     this->pass(1500ms);
-    EXPECT_TRUE(load().takes_work(this->now));
+    EXPECT_TRUE(load().accepts_requests(this->now));
     fail_one();
-    EXPECT_FALSE(load().takes_work(this->now + 2999ms)) << "it did so again";
+    EXPECT_FALSE(load().accepts_requests(this->now + 2999ms)) << "it did so again";
 }
 
 TEST_F(stream_delivery_test, an_engine_that_serves_between_two_failures_stays_in_use)
@@ -813,7 +813,7 @@
         this->start();
         give_head(this->last_send(), turn % 2 == 0 ? 500 : 200, signed_head());
         end(this->last_send());
-        EXPECT_TRUE(this->loads.of(upstream_id("head")).takes_work(this->now));
+        EXPECT_TRUE(this->loads.of(upstream_id("head")).accepts_requests(this->now));
     }
 }
 
@@ -861,7 +861,7 @@
     this->start();
     const std::string target = find_header(this->last_send().message.headers, "target").value();
     end(this->last_send(), call_ending::not_connected);
-    EXPECT_FALSE(this->loads.of(upstream_id(target)).takes_work(this->now));
+    EXPECT_FALSE(this->loads.of(upstream_id(target)).accepts_requests(this->now));
     ASSERT_EQ(this->sends.size(), 2U);
     EXPECT_NE(find_header(this->last_send().message.headers, "target").value(), target);
 }
--- a/tests/auto/directory/tst_upstreamdirectory.cpp
+++ b/tests/auto/directory/tst_upstreamdirectory.cpp
@@ -144,7 +144,7 @@
 {
     const discovered_upstream old = make_start("a", 1000);
     this->directory.put(old, start);
-    this->directory.end(old.id, start + 1s);
+    this->directory.mark_superseded(old.id, start + 1s);
     EXPECT_FALSE(this->has(old));
     EXPECT_EQ(this->outlived, std::vector<upstream_id>{old.id});
     EXPECT_FALSE(this->directory.put(old, start + 2s));
--- a/tests/auto/routing/tst_chainpolicy.cpp
+++ b/tests/auto/routing/tst_chainpolicy.cpp
@@ -59,7 +59,7 @@
 TEST_P(every_policy, uses_no_upstream_that_asked_for_a_wait_even_where_all_of_a_stage_did)
 {
     for (int number = 0; number < 4; ++number) {
-        this->loads.load_of(holder(1, number))->note_asked_to_wait(time_point(), 3s);
+        this->loads.load_of(holder(1, number))->note_retry_after(time_point(), 3s);
     }
     EXPECT_FALSE(this->policy(this->routes, {time_point() + 2s, {}}));
     EXPECT_TRUE(this->policy(this->routes, {time_point() + 3s, {}}));
--- a/tests/auto/routing/tst_layerpath.cpp
+++ b/tests/auto/routing/tst_layerpath.cpp
@@ -47,7 +47,7 @@
         std::string text;
         unsigned next = 0;
         std::set<upstream_id> seen;
-        for (const path_part& part : *path) {
+        for (const path_stage& part : *path) {
             EXPECT_EQ(part.span.begin, next) << "each layer once, in order";
             EXPECT_TRUE(seen.insert(part.id).second) << "no upstream twice";
             next = part.span.end;
@@ -71,8 +71,8 @@
     time_point now{100s};
     engine_profile profile = tests::make_sample_profile();
     upstream_directory directory{2s};
-    part_loads loads;
-    path_question question;
+    engine_loads loads;
+    path_query question;
 };
 
 TEST_F(layer_path_test, hosts_that_know_the_same_old_figures_do_not_all_take_one_path)
@@ -80,13 +80,13 @@
     this->put("a", {0, 8});
     this->put("b", {0, 8});
     this->put("tail", {8, 16});
-    this->loads.set_others({{upstream_id("b"), {200, 2}}}); // hardly more than nothing
+    this->loads.set_remote_usage({{upstream_id("b"), {200, 2}}}); // hardly more than nothing
     EXPECT_EQ(this->find(), "a:0-8 tail:8-16") << "without draws, the cheapest one";
     this->question.random = make_seeded_random(1);
     EXPECT_NEAR(this->count_of("b:0-8 tail:8-16", 1000), 500, 80);
-    this->loads.set_others({{upstream_id("b"), {10'000, 2}}}); // of room for 20,000
+    this->loads.set_remote_usage({{upstream_id("b"), {10'000, 2}}}); // of room for 20,000
     EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "what costs more is taken less often";
-    this->loads.set_others({{upstream_id("a"), {9'000, 2}}, {upstream_id("b"), {12'000, 2}}});
+    this->loads.set_remote_usage({{upstream_id("a"), {9'000, 2}}, {upstream_id("b"), {12'000, 2}}});
     EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 400);
     EXPECT_GT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "though not never";
 }
@@ -99,7 +99,8 @@
     this->put("there-tail", {8, 16}, "y");
     this->question.random = make_seeded_random(1);
     EXPECT_GT(this->count_of("here:0-8 here-tail:8-16", 1000), 900);
-    this->loads.set_others({{upstream_id("here"), {15'000, 2}}, {upstream_id("here-tail"), {15'000, 2}}});
+    this->loads.set_remote_usage(
+        {{upstream_id("here"), {15'000, 2}}, {upstream_id("here-tail"), {15'000, 2}}});
     EXPECT_GT(this->count_of("there:0-8 there-tail:8-16", 1000), 700);
 }
 
@@ -161,7 +162,7 @@
     this->put("far-tail", {8, 16}, "y");
     this->put("other-head", {0, 8}, "z", "small");
     this->put("other-tail", {8, 16}, "z", "small");
-    this->question.pipe_share = [](const data_hall_id&, const data_hall_id&) { return 5.0; };
+    this->question.pipe_utilization = [](const data_hall_id&, const data_hall_id&) { return 5.0; };
     EXPECT_EQ(this->find(), "other-head:0-8 other-tail:8-16");
 }
 
@@ -171,7 +172,7 @@
     this->put("slow", {0, 8}, "x", "small");
     this->put("tail", {8, 16});
     // 8 layers on a big card leave 2,000 MB at 0.1 MB a token and layer.
-    EXPECT_EQ(token_layer_room(this->profile, this->profile.kinds.at("big"), 8), 20'000);
+    EXPECT_EQ(token_layer_capacity(this->profile, this->profile.kinds.at("big"), 8), 20'000);
     this->loads.add(upstream_id("fast"), 19'000);
     this->put("slow", {0, 4}, "x", "small");
     this->put("slow2", {4, 8}, "x", "small");
@@ -186,9 +187,9 @@
     this->put("middle", {4, 8});
     this->put("tail", {8, 16});
     EXPECT_EQ(this->find(), "narrow:0-8 tail:8-16");
-    this->loads.set_others({{upstream_id("narrow"), {100, 5}}});
+    this->loads.set_remote_usage({{upstream_id("narrow"), {100, 5}}});
     EXPECT_EQ(this->find(), "roomy:0-4 middle:4-8 tail:8-16");
-    this->loads.set_others({{upstream_id("narrow"), {100, 5}}, {upstream_id("roomy"), {100, 7}}});
+    this->loads.set_remote_usage({{upstream_id("narrow"), {100, 5}}, {upstream_id("roomy"), {100, 7}}});
     EXPECT_EQ(this->find(), "narrow:0-8 tail:8-16");
 }
 
@@ -197,9 +198,9 @@
     this->put("a", {0, 8});
     this->put("b", {0, 8});
     this->put("tail", {8, 16});
-    this->loads.set_others({{upstream_id("a"), {10'000, 5}}});
+    this->loads.set_remote_usage({{upstream_id("a"), {10'000, 5}}});
     EXPECT_EQ(this->find(), "b:0-8 tail:8-16");
-    this->loads.set_others({{upstream_id("b"), {10'000, 5}}});
+    this->loads.set_remote_usage({{upstream_id("b"), {10'000, 5}}});
     EXPECT_EQ(this->find(), "a:0-8 tail:8-16");
 }
 
@@ -209,9 +210,9 @@
     this->put("b", {0, 8});
     this->put("tail", {8, 16});
     this->loads.add(upstream_id("a"), 2000);
-    this->loads.set_others({{upstream_id("b"), {6000, 3}}});
+    this->loads.set_remote_usage({{upstream_id("b"), {6000, 3}}});
     EXPECT_EQ(this->find(), "a:0-8 tail:8-16");
-    this->loads.set_unheard_hosts(4);
+    this->loads.set_unreported_hosts(4);
     EXPECT_EQ(this->find(), "b:0-8 tail:8-16");
 }
 
@@ -220,7 +221,7 @@
     this->put("head", {0, 10});
     this->put("better", {0, 10});
     this->put("tail", {8, 16});
-    this->question.present = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 9}}};
+    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 9}}};
     EXPECT_EQ(this->find(), "head:0-9 tail:9-16");
 }
 
@@ -232,7 +233,7 @@
     this->put("dead", {10, 16});
     this->put("tail", {10, 16});
     this->question.prompt_tokens = 4000;
-    this->question.present = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
+    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
         {upstream_id("same-middle"), endpoint("10.0.0.1:2"), {4, 10}},
         {upstream_id("dead"), endpoint("10.0.0.1:3"), {10, 16}}};
     this->question.avoided = {upstream_id("dead")};
@@ -246,11 +247,11 @@
     this->put("moved", {0, 2});
     this->put("tail", {10, 16});
     this->put("other", {4, 10}, "y");
-    this->question.present = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
+    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
         {upstream_id("middle"), endpoint("10.0.0.1:1"), {4, 10}},
         {upstream_id("moved"), endpoint("10.0.0.1:2"), {10, 16}}};
     EXPECT_EQ(this->find(), "head:0-4 middle:4-10 tail:10-16");
-    this->question.present.clear();
+    this->question.current_path.clear();
     EXPECT_EQ(this->find(), "head:0-4 other:4-10 tail:10-16") << "nothing new goes to one that leaves";
 }
 
@@ -270,31 +271,31 @@
     const auto path = find_layer_path(this->profile, this->directory, this->loads, this->question);
     ASSERT_TRUE(path.has_value());
     EXPECT_EQ(count_crossings(this->directory, *path), 1U);
-    EXPECT_NEAR(predict_fullest_share(this->profile, this->directory, this->loads, *path, 100),
+    EXPECT_NEAR(predict_peak_utilization(this->profile, this->directory, this->loads, *path, 100),
         (10'000 + 100 * 8) / 20'000.0, 1e-9);
     EXPECT_EQ(predict_prompt_time(this->profile, this->directory, *path, 100'000), duration(1s));
 }
 
-TEST(part_loads, suspicions_of_this_host_and_of_others_are_told_apart)
+TEST(engine_loads, suspicions_of_this_host_and_of_others_are_told_apart)
 {
     const time_point now{100s};
-    part_loads loads;
+    engine_loads loads;
     const upstream_id id("a");
-    loads.suspend_on_word(id, now + 1s);
+    loads.suspend_on_report(id, now + 1s);
     EXPECT_EQ(loads.of(id).failed_until, time_point{}) << "another host's word isn't passed on";
     EXPECT_TRUE(loads.of(id).has_failed(now));
     loads.suspend(id, now + 500ms);
-    loads.suspend_on_word(id, now + 2s);
+    loads.suspend_on_report(id, now + 2s);
     EXPECT_EQ(loads.of(id).failed_until, now + 500ms) << "own evidence stands beside a later word";
-    EXPECT_EQ(loads.of(id).told_until, now + 2s);
+    EXPECT_EQ(loads.of(id).reported_until, now + 2s);
     loads.resume(id);
-    EXPECT_TRUE(loads.of(id).takes_work(now));
+    EXPECT_TRUE(loads.of(id).accepts_requests(now));
 }
 
-TEST(part_loads, one_that_refuses_again_and_again_is_passed_by_for_longer_each_time)
+TEST(engine_loads, one_that_refuses_again_and_again_is_passed_by_for_longer_each_time)
 {
     const time_point now{100s};
-    part_loads loads;
+    engine_loads loads;
     const upstream_id id("a");
     for (const duration pause : {1s, 2s, 4s, 6s, 6s}) {
         loads.note_unwilling(id, now, 1s, 6s);
@@ -302,14 +303,14 @@
     }
     EXPECT_FALSE(loads.of(id).has_failed(now)) << "it lives, and what it runs goes on";
     loads.resume(id);
-    EXPECT_TRUE(loads.of(id).takes_work(now));
+    EXPECT_TRUE(loads.of(id).accepts_requests(now));
     loads.note_unwilling(id, now, 1s, 6s);
     EXPECT_EQ(loads.of(id).unwilling_until, now + 1s);
 }
 
-TEST(part_loads, an_idle_upstream_holds_nothing)
+TEST(engine_loads, an_idle_upstream_holds_nothing)
 {
-    part_loads loads;
+    engine_loads loads;
     const upstream_id id("a");
     loads.add(id, 0.1);
     loads.add(id, 0.2);
@@ -329,12 +330,12 @@
     const data_hall_id x("x");
     const data_hall_id y("y");
     meter.note(x, y, 5e8, now);
-    const double fresh = meter.used_share(y, x, 1e9, now);
+    const double fresh = meter.utilization(y, x, 1e9, now);
     EXPECT_NEAR(fresh, 1, 1e-9);
     meter.set_live_hosts(3);
-    EXPECT_NEAR(meter.used_share(x, y, 1e9, now), 3 * fresh, 1e-9);
-    EXPECT_LT(meter.used_share(x, y, 1e9, now + 3s), 0.01);
-    EXPECT_EQ(meter.used_share(x, data_hall_id("z"), 1e9, now), 0);
+    EXPECT_NEAR(meter.utilization(x, y, 1e9, now), 3 * fresh, 1e-9);
+    EXPECT_LT(meter.utilization(x, y, 1e9, now + 3s), 0.01);
+    EXPECT_EQ(meter.utilization(x, data_hall_id("z"), 1e9, now), 0);
 }
 
 } // namespace
--- a/tests/auto/routing/tst_upstreamload.cpp
+++ b/tests/auto/routing/tst_upstreamload.cpp
@@ -50,7 +50,7 @@
 TEST(upstream_load, an_upstreams_own_wish_to_wait_is_honoured_at_once)
 {
     upstream_load load{breaker_settings{}};
-    load.note_asked_to_wait(at(0s), 60s);
+    load.note_retry_after(at(0s), 60s);
     EXPECT_FALSE(load.is_available(at(59s)));
     EXPECT_TRUE(load.is_available(at(60s)));
 }
@@ -58,10 +58,10 @@
 TEST(upstream_load, nothing_but_time_ends_a_wait_that_the_upstream_asked_for)
 {
     upstream_load load{breaker_settings{}};
-    load.note_asked_to_wait(at(0s), 60s);
+    load.note_retry_after(at(0s), 60s);
     load.note_success(1ms);
     EXPECT_FALSE(load.is_available(at(1s))) << "an answer to an earlier request says nothing of its wish";
-    load.note_asked_to_wait(at(1s), 2s);
+    load.note_retry_after(at(1s), 2s);
     EXPECT_FALSE(load.is_available(at(59s)));
     EXPECT_TRUE(load.is_available(at(60s)));
 }
--- a/tests/auto/routing/tst_upstreampauses.cpp
+++ b/tests/auto/routing/tst_upstreampauses.cpp
@@ -41,9 +41,9 @@
     upstream_pauses pauses;
     pauses.note(first, 1s, start);
     pauses.note(second, 2s, start);
-    pauses.tidy(start + 1s);
+    pauses.remove_expired(start + 1s);
     EXPECT_FALSE(pauses.is_empty());
-    pauses.tidy(start + 2s);
+    pauses.remove_expired(start + 2s);
     EXPECT_TRUE(pauses.is_empty());
 }
 
--- a/tests/support/repairmodel.cpp
+++ b/tests/support/repairmodel.cpp
@@ -80,7 +80,7 @@
     hooks.on_fenced = [](fencing_token) {};
     hooks.on_result = [this](const layer_order& order, order_result result) {
         if (result == order_result::gone) {
-            this->directory.end(order.id, this->now);
+            this->directory.mark_superseded(order.id, this->now);
         }
     };
     hooks.used_share = [](const engine_profile&, const discovered_upstream&) { return 1.0; };
