--- a/src/libs/directory/upstreamdirectory.h
+++ b/src/libs/directory/upstreamdirectory.h
@@ -13,7 +13,7 @@
 
 namespace sailtiller {
 
-/// Layers from `begin` up to, without, `end`.
+/// Half-open range of layers [begin, end).
 struct layer_span
 {
     unsigned begin = 0;
@@ -33,98 +33,103 @@
     }
 };
 
-/// One start of an upstream, as it describes itself. Its name and its address may be used by a later start.
+/// One start of an upstream, as its entry describes it. A later start may reuse its name and address.
 struct discovered_upstream
 {
-    upstream_id id; ///< of the start
-    std::optional<start_moment> born; ///< nothing if it doesn't tell
+    upstream_id id; ///< identifies the start
+    std::optional<start_moment> born; ///< time of the start; nothing if the entry has none
     service_id service;
     endpoint address;
     data_hall_id data_hall;
     bool is_leaving = false;
-    std::string card; ///< name of its accelerator's kind in the engine profile; empty for plain services
+    std::string card; ///< accelerator kind by its name in the engine profile; empty for plain services
     layer_span held; ///< layers whose weights are loaded
 
     bool operator==(const discovered_upstream&) const = default;
 };
 
-/// An upstream with what this host knows of its entry.
+/// An upstream with the state of its entry at this host.
 struct directory_entry
 {
     discovered_upstream upstream;
-    time_point since{}; ///< when this host first heard of it
-    bool is_lapsed = false; ///< its entry vanished while the store was away; it may still be alive
+    time_point since{}; ///< first seen by this host
+    bool is_lapsed = false; ///< entry vanished while the store was disturbed; the upstream may still be alive
 };
 
-/// The upstreams that this host knows of. An entry that vanishes while the store is disturbed is kept as
-/// lapsed until the store has been back for a while, since the store may have dropped it by itself. Of one
-/// name, and of one service at one address, only the youngest start is there: an entry that an older one
-/// wrote late names nothing. Without that, an engine that had started anew was believed to hold layers it had
-/// lost for 4 s, and a hall went without them for 20 s (a log of one play). Starts are ordered by the moments
-/// that they tell, in whatever order their entries come; of those that tell none, the one that was seen first
-/// is the older, and two that are first seen together both stay.
+/// The upstreams known to this host.
+///
+/// An entry that vanishes while the store is disturbed is kept as lapsed for a grace period after the store's
+/// return, as the store itself may have dropped it.
+///
+/// Only the newest start of a name, and of a service at an address, is listed; late entries of superseded
+/// starts are ignored. Otherwise a restarted engine is assumed to hold layers that it has lost: for 4 s in
+/// one case, which left a data hall without these layers for 20 s. Starts are ordered by their start times,
+/// regardless of the order of their entries. Without start times, the start that was seen first is the older
+/// one, and two that are first seen at the same time both stay.
 class upstream_directory
 {
 public:
-    /// `lapse_grace`: how long after the store's return a lapsed entry is still believed. `on_outlived` is
-    /// told each start that has ended because a younger one stands in its place.
+    /// `lapse_grace`: time for which lapsed entries are kept after the store's return. `on_superseded` is
+    /// called for each start that a newer one has replaced.
     explicit upstream_directory(
-        duration lapse_grace, std::function<void(const upstream_id&)> on_outlived = nullptr)
+        duration lapse_grace, std::function<void(const upstream_id&)> on_superseded = nullptr)
         : lapse_grace(lapse_grace)
-        , on_superseded(std::move(on_outlived))
+        , on_superseded(std::move(on_superseded))
     {
     }
 
-    /// Takes one upstream's entry. Returns whether anything but its age changed; false for a start that a
-    /// younger one has replaced.
+    /// Adds or updates an entry. Returns whether anything but its age changed; false for a superseded start.
     bool put(const discovered_upstream& upstream, time_point now);
-    /// An entry vanished from the store.
+    /// Handles an entry that vanished from the store: removes it, or marks it as lapsed while the store is
+    /// disturbed.
     void remove(const upstream_id& id, time_point now);
-    /// An upstream leaves, whatever its entry says. Returns whether that is news.
+    /// Marks an upstream as leaving, whatever its entry says. Returns whether it was not marked before.
     bool set_leaving(const upstream_id& id);
-    /// An upstream is not to be used any more, whatever the store's state.
+    /// Removes an upstream, whatever the store's state.
     void drop(const upstream_id& id, time_point now);
-    /// Another upstream answered in place of this start, so it has ended.
+    /// Removes a start that has ended, as another upstream answered at its address.
     void mark_superseded(const upstream_id& id, time_point now);
-    /// Takes the whole list; what is not in it counts as removed. Returns whether anything changed.
+    /// Replaces all entries; those not in the list are handled as by `remove`. Returns whether anything
+    /// changed.
     bool replace(const std::vector<discovered_upstream>& upstreams, time_point now);
-    /// When the store last failed whoever reads the entries; nothing if it never has.
+    /// Sets the time of the last failure to read entries from the store; nothing if there was none.
     void set_store_disturbed(std::optional<time_point> at) { this->last_disturbed = at; }
     [[nodiscard]] const std::optional<time_point>& store_disturbed_at() const { return this->last_disturbed; }
-    /// Drops lapsed entries whose time is over, and returns them.
+    /// Removes lapsed entries after the grace period, and returns their ids.
     std::vector<upstream_id> drop_lapsed(time_point now);
 
-    /// Null if it isn't known.
+    /// Returns the entry of a start, or null.
     [[nodiscard]] const directory_entry* find(const upstream_id& id) const;
-    /// The upstream that goes by that name; null if there is none.
+    /// Returns the entry of the start with this name, or null.
     [[nodiscard]] const directory_entry* find_by_name(const std::string& name) const;
-    /// The youngest upstream of a service at that address; null if there is none.
+    /// Returns the entry of the newest upstream of a service at this address, or null.
     [[nodiscard]] const directory_entry* find_at(const service_id& service, const endpoint& address) const;
     [[nodiscard]] const std::map<upstream_id, directory_entry>& entries() const { return this->items; }
-    /// Counts changes, for whoever derives something from the entries.
+    /// Returns a counter that increases with each change, for caches of data derived from the entries.
     [[nodiscard]] std::uint64_t change_count() const { return this->changes; }
 
 private:
     using service_address = std::pair<service_id, endpoint>;
-    /// The youngest start that was known at a place; it is remembered for a while after it left the list.
+    /// Newest start known at an address. It is kept for some time after it left the list.
     struct address_owner
     {
         upstream_id id;
         std::optional<start_moment> born;
-        time_point first_seen{}; ///< first seen
-        std::optional<time_point> released_at; ///< nothing while it is in the list
-        std::map<upstream_id, time_point> superseded; ///< older starts of the place, and since when they are
+        time_point first_seen{};
+        std::optional<time_point> released_at; ///< end of its time in the list; nothing while it is listed
+        std::map<upstream_id, time_point>
+            superseded; ///< older starts at the address, with the times at which they were replaced
     };
 
-    /// True while a missing entry may only be the store's fault.
+    /// Returns whether a missing entry may be caused by the store.
     [[nodiscard]] bool is_store_disturbed(time_point now) const;
-    /// True if a younger start of the same name, or at the same address, is known.
+    /// Returns whether a newer start of the same name, or at the same address, is known.
     [[nodiscard]] bool is_superseded(const discovered_upstream& upstream) const;
-    /// True if this start, which is not in the list, is younger than the holder of its place.
+    /// Returns whether this start, which is not listed, is newer than the owner of its address.
     [[nodiscard]] static bool is_newer_start(
         const discovered_upstream& upstream, const address_owner& holder, time_point now);
-    /// The start takes its place; the older ones there, and the one of its name, end. Returns those of them
-    /// that were in the list.
+    /// Makes the start the owner of its address, and removes older starts of the address or the name. Returns
+    /// the ids of those that were listed.
     std::vector<upstream_id> claim_address(const discovered_upstream& upstream, time_point now);
     void notify_superseded(const std::vector<upstream_id>& ended) const;
     void release_address(const discovered_upstream& upstream, time_point now);
--- a/src/libs/engines/engineclient.h
+++ b/src/libs/engines/engineclient.h
@@ -6,8 +6,7 @@
 
 namespace sailtiller {
 
-/// Sends steps to model engines over HTTP (docs/design/engine-protocol.md). The one place that knows their
-/// format.
+/// Client of the HTTP protocol of model engines (docs/design/engine-protocol.md).
 class engine_client
 {
 public:
@@ -17,7 +16,7 @@
         std::function<void(const step_answer&)> on_answer,
         std::function<void(const send_failure&)> on_failure);
     void cancel(call_id call);
-    /// Tells an engine to drop what it keeps for an attempt, and doesn't wait for its answer.
+    /// Asks an engine to release the state of an attempt. The answer is ignored.
     void release(const stage_option& stage, const stream_id& stream, attempt_number attempt);
 
 private:
--- a/src/libs/engines/sendfailure.h
+++ b/src/libs/engines/sendfailure.h
@@ -6,14 +6,14 @@
 
 namespace sailtiller {
 
-/// A failed call of the HTTP client in the terms of delivery.
+/// Converts a failure of the HTTP client to a failure of delivery. `peer` names the upstream.
 send_failure to_send_failure(const http_failure& failure, const std::string& peer);
 
-/// True for the statuses by which an upstream says that it did not run a request: 429 always, and 503 if the
-/// answer carries "x-not-run: true", since a 503 alone may come from a proxy that had passed the request on.
+/// Returns whether the upstream states that it did not run the request: with status 429, or with 503 and the
+/// header "x-not-run: true". A 503 alone may come from a proxy that had already forwarded the request.
 [[nodiscard]] bool is_refusal(const http_response& response);
 
-/// The Retry-After header in seconds, if there is one of that form.
+/// Returns the Retry-After header if it is given in seconds, from 0 to one day.
 std::optional<duration> retry_after_of(const http_response& response);
 
 } // namespace sailtiller
--- a/src/libs/engines/serviceclient.h
+++ b/src/libs/engines/serviceclient.h
@@ -6,8 +6,7 @@
 
 namespace sailtiller {
 
-/// Passes callers' requests on to plain services, and their answers back, unchanged but for the headers that
-/// belong to one connection.
+/// Forwards callers' requests to plain services, and their answers back, without hop-by-hop headers.
 class service_client
 {
 public:
--- a/src/libs/engines/stepcodec.h
+++ b/src/libs/engines/stepcodec.h
@@ -5,10 +5,10 @@
 
 namespace sailtiller {
 
-/// Step messages: a CBOR head and the raw hidden state behind it (docs/design/engine-protocol.md).
+/// Encodes step messages: a CBOR header followed by the raw hidden state (docs/design/engine-protocol.md).
 std::string encode_step_request(const step_request& step);
 std::string encode_step_answer(const step_answer& answer);
-/// Both throw `error` if the bytes have not the shape.
+/// Decode step messages. Both throw `error` if the bytes are malformed.
 step_request decode_step_request(const std::string& bytes);
 step_answer decode_step_answer(const std::string& bytes);
 
--- a/src/libs/routing/accountindex.h
+++ b/src/libs/routing/accountindex.h
@@ -7,16 +7,16 @@
 
 namespace sailtiller {
 
-/// Finds the client account to which a caller's key belongs.
+/// Index of a bundle's client accounts by API key and by name.
 class account_index
 {
 public:
-    /// The bundle must outlive the index.
+    /// The index refers to `content`, which must outlive it.
     explicit account_index(const bundle& content);
 
-    /// Null if no account has this key.
+    /// Returns the account with this API key, or null.
     [[nodiscard]] const client_account* find_by_key(std::string_view key) const;
-    /// Null if there is no such account.
+    /// Returns the account with this name, or null.
     [[nodiscard]] const client_account* find_by_name(const client_account_id& name) const;
     [[nodiscard]] std::size_t size() const { return this->by_name.size(); }
 
--- a/src/libs/routing/engineloads.h
+++ b/src/libs/routing/engineloads.h
@@ -10,73 +10,73 @@
 
 namespace sailtiller {
 
-/// What this host knows of the work at one upstream.
+/// Load and availability of one upstream as this host knows them.
 struct engine_load
 {
-    double token_layers = 0; ///< cache that this host's requests hold there: tokens times layers
-    unsigned requests = 0; ///< of this host, that pass through it
-    double remote_token_layers = 0; ///< of the other hosts, as they told lately
+    double token_layers = 0; ///< cache that this host's requests use there, in tokens times layers
+    unsigned requests = 0; ///< requests of this host that pass through it
+    double remote_token_layers = 0; ///< cache used by the other hosts, by their latest reports
     unsigned remote_requests = 0;
-    time_point failed_until{}; ///< it failed this host's requests; nothing new goes there before this
-    time_point reported_until{}; ///< the same on the word of another host
-    time_point avoided_until{}; ///< it refused a request, for a reason that may pass soon
-    time_point unwilling_until{}; ///< it refused this host's requests though it had room
-    unsigned unwilling_count = 0; ///< how often, since it last took one
-    unsigned failure_count = 0; ///< requests of this host that it ran and failed, since it last served one
-    double pace = 1; ///< how many times slower than its card it has been seen to be
+    time_point failed_until{}; ///< suspected by this host until then; gets no new requests
+    time_point reported_until{}; ///< the same by the report of another host
+    time_point avoided_until{}; ///< avoided after a refusal for a temporary reason
+    time_point unwilling_until{}; ///< avoided after a refusal despite free capacity
+    unsigned unwilling_count = 0; ///< number of such refusals since it last accepted a request
+    unsigned failure_count = 0; ///< requests of this host that it ran and failed since it last served one
+    double pace = 1; ///< observed slowdown relative to the profile of its card
 
-    /// True while it is believed to be dead or out of reach, by this host or another one.
+    /// Returns whether this host or another one suspects the upstream to be dead or unreachable.
     [[nodiscard]] bool has_failed(time_point now) const;
-    /// True if new requests may go there.
+    /// Returns whether new requests may be sent there.
     [[nodiscard]] bool accepts_requests(time_point now) const;
 };
 
-/// What other hosts' requests hold at an upstream.
+/// Usage of an upstream by the requests of other hosts.
 struct upstream_usage
 {
     double token_layers = 0;
     unsigned requests = 0;
 };
 
-/// The work at the upstreams: this host's own counts, and what the other hosts tell.
+/// Loads of the upstreams, from this host's own counts and the reports of the other hosts.
 class engine_loads
 {
 public:
-    /// What is known of one; of an unknown one, that nothing is there.
+    /// Returns the load of an upstream; an empty load if it is unknown.
     [[nodiscard]] const engine_load& of(const upstream_id& id) const;
-    /// One request more passes through it, with so many tokens times layers.
+    /// Adds one request of this host that uses `token_layers` tokens times layers.
     void add(const upstream_id& id, double token_layers);
-    /// One request less; `token_layers` as in `add`.
+    /// Removes one request. `token_layers` is the value given to `add`.
     void subtract(const upstream_id& id, double token_layers);
-    /// It failed this host's requests: keeps new work away until `until`; a later time that stands already is
-    /// kept. Other hosts are told.
+    /// Suspects an upstream that failed this host's requests: it gets no new requests before `until`, or
+    /// before a later time set earlier. The suspicion is reported to other hosts.
     void suspend(const upstream_id& id, time_point until);
-    /// It refused a request, for a reason that may pass soon; other hosts aren't told.
+    /// Avoids an upstream that refused a request for a temporary reason. Other hosts are not informed.
     void avoid(const upstream_id& id, time_point until);
-    /// It refused a request though it had room: it drains, or gives layers up, and its entry doesn't say so
-    /// yet. Nothing new goes there for `pause`, for twice as long at each further refusal, up to `longest`;
-    /// other hosts are told.
+    /// Notes a refusal despite free capacity: the upstream drains or unloads layers, and its entry does not
+    /// say so yet. It gets no new requests for `pause`, doubled at each further refusal up to `longest`. This
+    /// is reported to other hosts.
     void note_unwilling(const upstream_id& id, time_point now, duration pause, duration longest);
-    /// It ran a request and failed. From the second time in a row on it is passed by as in `note_unwilling`:
-    /// the first may be the request's own fault.
+    /// Notes a request that the upstream ran and failed. From the second failure in a row on, it is avoided
+    /// as in `note_unwilling`; the first may be caused by the request itself.
     void note_failure(const upstream_id& id, time_point now, duration pause, duration longest);
-    /// It serves a request.
+    /// Notes that the upstream serves a request, which ends a run of failures.
     void note_served(const upstream_id& id);
-    /// The same as `suspend` on the word of another host; it isn't passed on.
+    /// As `suspend`, by the report of another host. It is not reported further.
     void suspend_on_report(const upstream_id& id, time_point until);
-    /// What the other hosts hold there. Those that are not named hold nothing.
+    /// Sets the usage by other hosts. Upstreams that are not in `shares` have none.
     void set_remote_usage(const std::map<upstream_id, upstream_usage>& shares);
-    /// Hosts of whose work nothing is known yet; each is taken to do as much as this one.
+    /// Sets the number of hosts without a report yet. Each is assumed to cause as much load as this one.
     void set_unreported_hosts(std::size_t count) { this->unreported_hosts = static_cast<double>(count); }
-    /// What all hosts' requests hold at an upstream: tokens times layers.
+    /// Returns the cache that the requests of all hosts use at an upstream, in tokens times layers.
     [[nodiscard]] double total_token_layers(const engine_load& load) const;
-    /// Requests of all hosts that pass through an upstream.
+    /// Returns the number of requests of all hosts that pass through an upstream.
     [[nodiscard]] double total_requests(const engine_load& load) const;
-    /// It is this many times slower than its card should be.
+    /// Sets the slowdown of an upstream relative to the profile of its card.
     void set_pace(const upstream_id& id, double pace);
-    /// It has answered, so it is there.
+    /// Ends suspicions and avoidance of an upstream that has answered.
     void resume(const upstream_id& id);
-    /// Forgets an upstream that is gone and has no work of this host's.
+    /// Removes upstreams that are unknown and run no requests of this host.
     void forget_idle(const std::function<bool(const upstream_id&)>& is_known);
 
     [[nodiscard]] const std::unordered_map<upstream_id, engine_load>& all() const { return this->loads; }
--- a/src/libs/routing/layerpath.h
+++ b/src/libs/routing/layerpath.h
@@ -12,7 +12,7 @@
 
 namespace sailtiller {
 
-/// One upstream of a path with the layers that it runs.
+/// One upstream of a layer path with the layers that it runs.
 struct path_stage
 {
     upstream_id id;
@@ -20,59 +20,64 @@
     layer_span span;
 };
 
-/// Upstreams that run every layer once, in order. The request goes to the first, which passes it on.
+/// Stages that run every layer once, in order. A request is sent to the first stage, the head, which forwards
+/// it to the next.
 using layer_path = std::vector<path_stage>;
 
-/// What a path is wanted for.
+/// Input of a path search.
 struct path_query
 {
     service_id service;
-    data_hall_id origin; ///< of the host that asks
+    data_hall_id origin; ///< data hall of the requesting host
     double prompt_tokens = 0;
-    double answer_tokens = 0; ///< expected
-    std::set<upstream_id> avoided;
-    /// The path of a running request that wants another one; empty for a new request. Its head stays as it
-    /// is. Its other parts may stay, also on upstreams that are leaving: they know the prompt, and new ones
-    /// must read it.
+    double answer_tokens = 0; ///< expected length of the answer
+    std::set<upstream_id> avoided; ///< upstreams that must not be used
+    /// Path of a running request that is to be rerouted; empty for a new request. The head keeps its layers.
+    /// The other stages may be kept, also on leaving upstreams, as they have the prompt in their cache and
+    /// new ones must read it.
     layer_path current_path;
-    /// False of an upstream that may not begin a new request now; may be left out, so that each may.
+    /// Returns whether an upstream may be the head of a new request now. Optional; by default all may.
     std::function<bool(const upstream_id&)> may_be_head;
-    /// How far the pipe between two halls is used; may be left out.
+    /// Returns the utilization of the pipe between two data halls. Optional; by default 0.
     std::function<double(const data_hall_id& from, const data_hall_id& to)> pipe_utilization;
     time_point now{};
-    /// Draws how far each upstream's cost is off; may be left out.
+    /// Source of the random factors on the costs of upstreams. Optional; by default costs are used as they
+    /// are.
     random_function random;
 };
 
-/// Tokens for which an upstream has room when it runs `layers` layers.
+/// Returns the capacity of an upstream that holds `layers` layers, in tokens times layers.
 double token_layer_capacity(const engine_profile& profile, const card_kind& card, unsigned layers);
 
-/// Time to read a prompt through a path whose upstreams have nothing else to do.
+/// Predicts the prefill time of a prompt on a path whose upstreams are idle.
 duration predict_prompt_time(const engine_profile& profile, const upstream_directory& directory,
     const layer_path& path, double prompt_tokens);
 
-/// Time of one token through a path, by the steps of its upstreams at their present load and the hops between
-/// them.
+/// Predicts the time of one decode step on a path: the step times of its stages at their current load and the
+/// hops between them.
 duration predict_token_time(const engine_profile& profile, const upstream_directory& directory,
     const engine_loads& loads, const layer_path& path);
 
-/// Visits each step of a path from one hall to another, in order.
+/// Calls `visit` for each hop of a path from one data hall to another, in order.
 void visit_crossings(const upstream_directory& directory, const layer_path& path,
     const std::function<void(const data_hall_id& from, const data_hall_id& to)>& visit);
 
-/// How often a path goes from one hall to another.
+/// Returns the number of hops of a path between data halls.
 unsigned count_crossings(const upstream_directory& directory, const layer_path& path);
 
-/// The largest share of its room that any upstream of the path would use with one more such request.
+/// Predicts the highest capacity utilization among the upstreams of a path with one more request of `tokens`
+/// tokens.
 double predict_peak_utilization(const engine_profile& profile, const upstream_directory& directory,
     const engine_loads& loads, const layer_path& path, double tokens);
 
-/// The share of an upstream's room for tokens that all hosts' requests use; 1 if it has none.
+/// Returns the share of an upstream's token capacity that the requests of all hosts use; 1 if it has no
+/// capacity.
 double token_utilization_of(
     const engine_profile& profile, const engine_loads& loads, const discovered_upstream& upstream);
 
-/// Finds the cheapest path over parts of the held ranges, by predicted time, the room that is left, and the
-/// price of leaving a hall. Nothing if some layer has no holder that may be used.
+/// Finds the cheapest path over the layers that upstreams hold, by predicted time, free capacity, and the
+/// cost of crossing data halls. A stage may run a part of the layers that its upstream holds. Returns nothing
+/// if some layer has no usable holder, or if the path has more stages than engines accept.
 std::optional<layer_path> find_layer_path(const engine_profile& profile, const upstream_directory& directory,
     const engine_loads& loads, const path_query& question);
 
--- a/src/libs/routing/loadtable.h
+++ b/src/libs/routing/loadtable.h
@@ -8,15 +8,15 @@
 
 namespace sailtiller {
 
-/// The loads of all upstreams that this host has used or may use, kept over changes of the bundle.
+/// Loads of the upstreams that this host uses. They persist across changes of the bundle.
 class load_table
 {
 public:
     explicit load_table(breaker_settings settings = {});
 
-    /// The load of an upstream, made on first use. It lives as long as somebody holds it.
+    /// Returns the load of an upstream, creating it on first use. Ownership is shared with the callers.
     std::shared_ptr<upstream_load> load_of(const upstream_id& name);
-    /// Forgets loads that nobody holds any more, as of upstreams that left the bundle.
+    /// Removes loads that are referenced only by this table, such as those of upstreams that left the bundle.
     void drop_unused();
     [[nodiscard]] std::size_t size() const { return this->loads.size(); }
 
--- a/src/libs/routing/pipemeter.h
+++ b/src/libs/routing/pipemeter.h
@@ -8,19 +8,19 @@
 
 namespace sailtiller {
 
-/// Estimates how far the pipes between halls are used, from what this host's requests sent through them
-/// lately and the number of hosts that do about the same.
+/// Estimates the utilization of the pipes between data halls from the recent traffic of this host's requests
+/// and the number of hosts, which are assumed to cause about the same traffic each.
 class pipe_meter
 {
 public:
-    /// Older use counts less and less; a pipe that stands still is empty after a few of these.
+    /// Time constant of the exponential decay of past traffic.
     static constexpr duration memory = std::chrono::milliseconds(500);
 
-    /// Hosts that send about as much as this one.
+    /// Sets the number of live hosts, this one included.
     void set_live_hosts(std::size_t count) { this->live_hosts = count == 0 ? 1 : count; }
-    /// A request moved that many bits from one hall to the other.
+    /// Records a transfer between two data halls.
     void note(const data_hall_id& from, const data_hall_id& to, double bits, time_point now);
-    /// Share of the pipe's rate in use, over all hosts.
+    /// Returns the share of the pipe's rate in use by all hosts; 0 without a known rate.
     [[nodiscard]] double utilization(
         const data_hall_id& from, const data_hall_id& to, double bits_per_second, time_point now) const;
 
@@ -32,7 +32,7 @@
     };
     using hall_pair = std::pair<data_hall_id, data_hall_id>;
 
-    /// The pipe is shared by both directions.
+    /// Returns the key of a pipe, the same for both directions, which share its rate.
     static hall_pair pair_of(const data_hall_id& from, const data_hall_id& to);
     static double decayed(const use& item, time_point now);
 
--- a/src/libs/routing/retryallowance.h
+++ b/src/libs/routing/retryallowance.h
@@ -10,16 +10,17 @@
 
 namespace sailtiller {
 
-/// The fleet's allowance of repeated sends.
+/// Limit of the retries that all hosts together may send.
 struct retry_allowance_settings
 {
-    double ratio = 0; ///< repeats for each request of a window
-    double slack = 0; ///< repeats of a window beyond these, over all hosts
+    double ratio = 0; ///< retries per request of a window
+    double slack = 0; ///< further retries per window, over all hosts
     duration window = std::chrono::seconds(10);
 };
 
-/// This host's part of the fleet's allowance: its own requests earn `ratio` each, and the slack is split over
-/// the live hosts. Only what was sent within the last window counts, so no span of that length exceeds it.
+/// This host's share of the fleet's retry allowance. Each of its requests earns `ratio` of a retry, and the
+/// slack is divided among the live hosts. Only sends within the last window count, so no interval of that
+/// length exceeds the allowance.
 class retry_allowance
 {
 public:
@@ -29,21 +30,21 @@
     }
 
     void set_settings(const retry_allowance_settings& next) { this->settings = next; }
-    /// This process has begun. What one of the same host sent before counts still, so there is no slack until
-    /// a window has passed.
+    /// Notes the start of this process. Retries of an earlier process of this host still count, so there is
+    /// no slack until a window has passed.
     void note_start(time_point now) { this->started = now; }
-    /// Hosts over which the slack is split: all that may have sent something within the window.
+    /// Sets the number of hosts that share the slack: all that may have sent a retry within the window.
     void set_sharing_hosts(std::size_t count) { this->sharing_hosts = count == 0 ? 1 : count; }
     [[nodiscard]] duration window() const { return this->settings.window; }
-    /// A caller's request came; it earns its part of a repeat.
+    /// Notes a request from a caller, which earns `ratio` of a retry.
     void note_request(const service_id& service, time_point now);
-    /// Takes one repeat if there is one left.
+    /// Consumes one retry if one is available, and returns whether it did.
     [[nodiscard]] bool take(const service_id& service, time_point now);
-    /// Repeats that could be taken now.
+    /// Returns the number of retries available now; negative if the allowance is exceeded.
     [[nodiscard]] double left(const service_id& service, time_point now);
 
 private:
-    /// What was sent to one service within the last window.
+    /// Sends to one service within the last window.
     struct recent_sends
     {
         std::deque<time_point> requests;
--- a/src/libs/routing/retrybudget.h
+++ b/src/libs/routing/retrybudget.h
@@ -5,9 +5,9 @@
 
 namespace sailtiller {
 
-/// Bounds the repeated attempts of a host, so that a failing pool is not buried under retries. Each first
-/// attempt earns `ratio` of a retry. What is earned is kept up to a reserve that grows with the requests in
-/// flight, so that all streams of one upstream that dies can move at once, and those of a failing pool can't.
+/// Limits the retries of a host, so that they do not overload a failing pool. Each first attempt earns
+/// `ratio` of a retry. The balance is capped by a reserve that grows with the requests in flight, so that all
+/// streams of one dead upstream can be retried at once, but not those of a failing pool.
 class retry_budget
 {
 public:
@@ -15,9 +15,9 @@
 
     void set_ratio(double new_ratio) { this->ratio = new_ratio; }
     void note_first_attempt();
-    /// A request that was noted has ended.
+    /// Notes the end of a request passed to `note_first_attempt`.
     void note_finished();
-    /// Takes one retry if there is one left.
+    /// Consumes one retry if one is available, and returns whether it did.
     [[nodiscard]] bool take_retry();
 
 private:
--- a/src/libs/routing/routingtable.h
+++ b/src/libs/routing/routingtable.h
@@ -9,7 +9,7 @@
 
 namespace sailtiller {
 
-/// One stage that this host may use for a model.
+/// A stage of a model with one of its holders.
 struct stage_option
 {
     upstream_id holder;
@@ -21,7 +21,7 @@
     std::shared_ptr<upstream_load> load;
 };
 
-/// A model's stages, grouped by the layer at which they start.
+/// Stages of a model, grouped by their first layer.
 struct model_routes
 {
     model_id name;
@@ -37,21 +37,21 @@
     std::shared_ptr<upstream_load> load;
 };
 
-/// How many holders of one layer range a host considers. More spread the load more evenly, fewer cost less:
-/// the figures are in docs/design/routing.md.
+/// Number of holders of one layer range that a host considers. More spread the load more evenly, fewer cost
+/// less time per choice; docs/design/routing.md has the measurements.
 constexpr std::size_t holders_per_stage = 16;
 
-/// The upstreams of one bundle as one host uses them, made anew for each bundle that takes force.
+/// Routes of one host by one bundle, rebuilt for each bundle that takes effect.
 class routing_table
 {
 public:
-    /// `self` draws this host's subset of holders by rendezvous hashing, so that load over all hosts stays
-    /// even.
+    /// `self` selects this host's subset of holders by rendezvous hashing, which keeps the load over all
+    /// hosts even. `loads` provides the loads that the routes share.
     routing_table(const bundle& content, const host_id& self, load_table& loads);
 
-    /// Null if the bundle has no such model.
+    /// Returns the routes of a model, or null if the bundle has no such model.
     [[nodiscard]] const model_routes* routes_of(const model_id& name) const;
-    /// Empty if the bundle has no such service.
+    /// Returns the upstreams of a plain service; empty if the bundle has no such service.
     [[nodiscard]] const std::vector<service_option>& options_of(const service_id& name) const;
     [[nodiscard]] std::size_t stage_count() const;
 
--- a/src/libs/routing/upstreamload.h
+++ b/src/libs/routing/upstreamload.h
@@ -8,22 +8,22 @@
 
 namespace sailtiller {
 
-/// When an upstream that answers badly is left alone, and for how long.
+/// Settings of the circuit breaker of an upstream.
 struct breaker_settings
 {
-    std::uint32_t failures_to_open = 3; ///< in a row, without a success between them
+    std::uint32_t failures_to_open = 3; ///< consecutive failures that open the breaker
     duration first_pause = std::chrono::seconds(1);
     duration longest_pause = std::chrono::seconds(30);
-    duration max_retry_after = std::chrono::minutes(10); ///< bound on an upstream's own Retry-After
+    duration max_retry_after = std::chrono::minutes(10); ///< upper bound of an upstream's Retry-After
 };
 
 enum class breaker_state {
-    closed, ///< gets work
-    open, ///< gets none until its pause is over
-    half_open ///< gets one request at a time, to see whether it answers again
+    closed, ///< requests are sent
+    open, ///< no requests until the pause is over
+    half_open ///< one request at a time as a probe
 };
 
-/// What one host knows of one upstream: what it has in flight there itself, and what the answers told.
+/// Load and circuit breaker of one upstream as one host sees them, from its own requests and their answers.
 class upstream_load
 {
 public:
@@ -31,31 +31,32 @@
 
     void note_sent();
     void note_finished();
-    /// A good answer that took `time`.
+    /// Notes a successful answer that took `time`. Closes the breaker.
     void note_success(duration time);
-    /// A failure that speaks against the upstream: no connection, no answer in time, a server error.
+    /// Notes a failure attributed to the upstream: no connection, no answer in time, or a server error.
     void note_failure(time_point now);
-    /// The upstream asked to be left alone (429 or 503 with Retry-After). Only time ends that.
+    /// Notes a Retry-After of the upstream (with 429 or 503). It ends by its time alone.
     void note_retry_after(time_point now, duration wait);
-    /// The upstream reported its own load; hints age and are dropped when old.
+    /// Notes the number of running streams that the upstream reported. It is ignored once it is too old.
     void note_report(time_point now, std::uint32_t streams_running);
-    /// The upstream is leaving, or is back; while it leaves it gets no new work, whatever the breakers say.
+    /// Sets whether the upstream is leaving. A leaving upstream gets no new requests in any breaker state.
     void set_leaving(bool is_leaving) { this->leaving = is_leaving; }
     [[nodiscard]] bool is_leaving() const { return this->leaving; }
 
     [[nodiscard]] breaker_state state(time_point now) const;
-    /// True if the upstream leaves or has asked to be left alone: nothing new goes there, whatever the
-    /// breakers say.
+    /// Returns whether the upstream is leaving or within a Retry-After: it gets no new requests in any
+    /// breaker state.
     [[nodiscard]] bool is_excluded(time_point now) const
     {
         return this->leaving || now < this->retry_after_end;
     }
-    /// True if a new request may go there now: closed, or half open with no probe under way.
+    /// Returns whether a new request may be sent now: not excluded, and the breaker is closed, or half open
+    /// with no request in flight.
     [[nodiscard]] bool is_available(time_point now) const;
     [[nodiscard]] std::uint32_t in_flight() const { return this->own_in_flight; }
-    /// The larger of what this host has in flight and a report that is not too old.
+    /// Returns the larger of this host's requests in flight and the upstream's report, if that is recent.
     [[nodiscard]] std::uint32_t expected_streams(time_point now) const;
-    /// Smoothed time of good answers; empty before the first.
+    /// Returns the smoothed time of successful answers; nothing before the first one.
     [[nodiscard]] std::optional<duration> answer_time() const { return this->smoothed_time; }
 
 private:
@@ -66,7 +67,7 @@
     bool is_tripped = false;
     bool leaving = false;
     time_point pause_end{};
-    time_point retry_after_end{}; ///< of the wait that the upstream asked for
+    time_point retry_after_end{};
     std::optional<duration> smoothed_time;
     std::uint32_t reported_streams = 0;
     std::optional<time_point> reported_at;
--- a/src/libs/routing/upstreampauses.h
+++ b/src/libs/routing/upstreampauses.h
@@ -9,16 +9,16 @@
 
 namespace sailtiller {
 
-/// Bounds of what a host remembers of pauses.
+/// Limits of the pauses that a host keeps.
 struct upstream_pauses_settings
 {
-    /// At most so many upstreams; 3,000 engines are the most that a site is designed for.
+    /// Maximum number of upstreams; a site is designed for up to 3,000 engines.
     std::size_t most_records = 4096;
-    duration longest_pause = std::chrono::hours(24); ///< a longer one counts as this long
+    duration longest_pause = std::chrono::hours(24); ///< longer pauses are cut to this
 };
 
-/// The upstreams that asked this host to send them nothing for a while. A pause ends by its time alone:
-/// neither what else is heard of the upstream nor a gap in its entry ends it sooner.
+/// Upstreams that asked this host to send them nothing for some time. A pause ends by its time alone; neither
+/// reports about the upstream nor a missing entry end it earlier.
 class upstream_pauses
 {
 public:
@@ -27,18 +27,20 @@
     {
     }
 
-    /// The upstream refused a request with this wish, which came now. One that ends later stays.
+    /// Notes a pause that an upstream asked for at `now` when it refused a request. A pause that ends later
+    /// is kept.
     void note(const upstream_id& id, duration pause, time_point now);
-    /// When the upstream's pause ends; nothing if it has none now.
+    /// Returns the end of the upstream's pause, or nothing if it is not paused.
     [[nodiscard]] std::optional<time_point> end_of(const upstream_id& id, time_point now) const;
     [[nodiscard]] bool is_paused(const upstream_id& id, time_point now) const;
     [[nodiscard]] std::size_t paused_count(time_point now) const;
-    /// True if nothing is remembered.
+    /// Returns whether no pauses are kept, expired ones included.
     [[nodiscard]] bool is_empty() const { return this->ends.empty(); }
-    /// Forgets pauses that are over.
+    /// Removes pauses that are over.
     void remove_expired(time_point now);
 
 private:
+    /// Makes room for one more pause by removing expired ones or, if there are none, the one that ends first.
     void evict_if_full(time_point now);
 
     upstream_pauses_settings settings;
