--- a/src/libs/directory/upstreamdirectory.cpp
+++ b/src/libs/directory/upstreamdirectory.cpp
@@ -7,9 +7,8 @@
 
 namespace {
 
-/// An entry that an ended start wrote comes seconds late at the most; the memory of a start that has ended is
-/// kept for far longer, and not for ever.
-constexpr duration ended_memory = std::chrono::seconds(60);
+/// Time for which ended starts are kept. Their late entries arrive within seconds; the limit bounds memory.
+constexpr duration ended_start_retention = std::chrono::seconds(60);
 
 } // namespace
 
@@ -152,7 +151,7 @@
 
 void upstream_directory::remove_expired_starts(time_point now)
 {
-    const auto is_long_ago = [now](time_point moment) { return now - moment >= ended_memory; };
+    const auto is_long_ago = [now](time_point moment) { return now - moment >= ended_start_retention; };
     for (auto& [at, holder] : this->by_address) {
         std::erase_if(holder.superseded, [&](const auto& item) { return is_long_ago(item.second); });
     }
@@ -176,7 +175,7 @@
 bool upstream_directory::replace(const std::vector<discovered_upstream>& upstreams, time_point now)
 {
     const std::uint64_t before = this->changes;
-    // By name: an entry of an older start says nothing against the youngest one of that name.
+    // Compared by name, as the entry of an older start does not remove the newest one of that name.
     std::set<std::string> listed;
     for (const discovered_upstream& upstream : upstreams) {
         listed.insert(upstream_name(upstream.id));
--- a/src/libs/engines/serviceclient.cpp
+++ b/src/libs/engines/serviceclient.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Headers of one connection (RFC 9110, section 7.6.1), and those that the client writes itself. The caller's
-/// key is for sailtiller and goes no further.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1) and those that the HTTP client sets itself. The caller's API
+/// key is for sailtiller alone and is not forwarded.
 constexpr std::array<std::string_view, 11> unforwarded_headers{"connection", "keep-alive", "proxy-connection",
     "te", "trailer", "transfer-encoding", "upgrade", "host", "content-length", "expect", "authorization"};
 
--- a/src/libs/engines/stepcodec.cpp
+++ b/src/libs/engines/stepcodec.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A message is the length of its head (4 bytes, most significant first), the head as CBOR, and raw bytes to
-/// the end. The raw bytes are a hidden state of many kilobytes, which a CBOR library copies byte by byte.
+/// A message is the length of its header (4 bytes, big endian), the header as CBOR, and raw bytes to the end.
+/// The raw bytes are a hidden state of many kilobytes; they are outside the CBOR, which the library copies
+/// byte by byte.
 constexpr std::size_t length_bytes = 4;
 
 std::string build_message(const json& head, const std::string& raw)
@@ -23,7 +24,7 @@
     return message.append(encoded).append(raw);
 }
 
-/// A message taken apart.
+/// A message split into its header and the raw bytes, which refer to the message.
 struct parsed_message
 {
     json head;
@@ -37,7 +38,7 @@
         head_size = head_size * 256 + static_cast<unsigned char>(message[index]);
     }
     if (message.size() < length_bytes || head_size > message.size() - length_bytes) {
-        throw error({step, ""}, "malformed: the message is shorter than it says");
+        throw error({step, ""}, "malformed: message shorter than its header length");
     }
     const std::string_view head = message.substr(length_bytes, head_size);
     return {json::from_cbor(head), message.substr(length_bytes + head_size)};
--- a/src/libs/routing/accountindex.cpp
+++ b/src/libs/routing/accountindex.cpp
@@ -16,7 +16,7 @@
 
 const client_account* account_index::find_by_key(std::string_view key) const
 {
-    // The table is looked up by a digest, which a caller can't steer; the compare itself takes constant time.
+    // The look-up is by digest, which a caller cannot choose; the final comparison takes constant time.
     const std::string digest = key_digest_of(key);
     const auto found = this->by_digest.find(digest);
     if (found == this->by_digest.end() || !is_equal_in_constant_time(found->first, digest)) {
--- a/src/libs/routing/chainpolicy.cpp
+++ b/src/libs/routing/chainpolicy.cpp
@@ -13,7 +13,7 @@
 
 constexpr cost unreachable = std::numeric_limits<cost>::infinity();
 
-/// Which stages may be used in one search.
+/// Treatment of stages whose breaker is not closed.
 enum class open_breaker_policy { respect, ignore };
 
 bool is_usable(const stage_option& stage, const chain_request& request, open_breaker_policy rule)
@@ -24,8 +24,8 @@
     return rule == open_breaker_policy::ignore || stage.load->is_available(request.now);
 }
 
-/// The cheapest chain: a shortest path over the layers, each stage an edge from its first layer to behind its
-/// last.
+/// Finds the cheapest chain as a shortest path over the layers. Each stage is an edge from its first layer to
+/// the layer after its last.
 std::optional<chain> find_cheapest_chain(const model_routes& routes, const chain_request& request,
     open_breaker_policy rule, const stage_cost& cost_of)
 {
@@ -69,17 +69,17 @@
     return find_cheapest_chain(routes, request, open_breaker_policy::ignore, cost_of);
 }
 
-/// The expected time of one decode step: the holder's step time, stretched when its batch is over-full, and
-/// the way there and back.
+/// Returns the expected time of one decode step: the step time of the holder, extended if its batch is full,
+/// and the round trip to it.
 cost expected_step_time(const stage_option& stage, time_point now)
 {
     const double streams = stage.load->expected_streams(now) + 1.0;
-    const double crowding = std::max(1.0, streams / stage.streams);
-    const double told = static_cast<double>(stage.step_time.count());
+    const double overload = std::max(1.0, streams / stage.streams);
+    const double step_time = static_cast<double>(stage.step_time.count());
     const double link = 2.0 * static_cast<double>(stage.link_delay.count());
-    // Engines batch, so a busy holder is a little slower even before its batch is full.
-    const double fullness = std::min(1.0, streams / stage.streams);
-    return (told + 1.0) * crowding * (1.0 + 0.25 * fullness) + link;
+    // Engines batch, so the step time increases with the load even before the batch is full.
+    const double batch_utilization = std::min(1.0, streams / stage.streams);
+    return (step_time + 1.0) * overload * (1.0 + 0.25 * batch_utilization) + link;
 }
 
 chain_policy make_least_time()
@@ -90,23 +90,23 @@
     };
 }
 
-/// Draws for each stage a small random cost, so that the cheapest chain is a random one. Chains of fewer
-/// stages are not preferred: the cost is the share of layers times the draw.
+/// Prefers the holders with the fewest requests in flight among a random subset. The cost of a stage grows
+/// with its number of layers, so that chains of fewer stages are not preferred.
 chain_policy make_least_in_flight(random_function random)
 {
     return [random = std::move(random)](const model_routes& routes, const chain_request& request) {
-        // Two choices: only about two of the holders of each range are looked at, by a coin for each.
+        // Power of two choices: on average two holders of each range are drawn, and the others get a penalty.
         return find_chain(routes, request, [&](const stage_option& stage) {
             const std::size_t holders = routes.starting_at[stage.layers.first.value()].size();
             const bool is_drawn = random() % std::max<std::size_t>(holders, 1) < 2;
             const double relative = (stage.load->in_flight() + 1.0) / stage.streams;
-            const double passed_over = is_drawn ? 0.0 : 1e6;
-            return (relative + passed_over) * stage.layers.count();
+            const double penalty = is_drawn ? 0.0 : 1e6;
+            return (relative + penalty) * stage.layers.count();
         });
     };
 }
 
-/// Takes the holders of each stage in turn, whatever their load or speed.
+/// Uses the holders of each stage in turn, regardless of load and speed.
 chain_policy make_round_robin(random_function random)
 {
     return [turn = random()](const model_routes& routes, const chain_request& request) mutable {
@@ -150,14 +150,14 @@
 std::optional<service_option> choose_service_option(
     const std::vector<service_option>& options, const chain_request& request, const random_function& random)
 {
-    std::vector<const service_option*> usable;
-    std::vector<const service_option*> paused;
+    std::vector<const service_option*> available;
+    std::vector<const service_option*> tripped;
     for (const service_option& option : options) {
         if (!request.avoid.contains(option.name) && !option.load->is_excluded(request.now)) {
-            (option.load->is_available(request.now) ? usable : paused).push_back(&option);
+            (option.load->is_available(request.now) ? available : tripped).push_back(&option);
         }
     }
-    const std::vector<const service_option*>& pool = usable.empty() ? paused : usable;
+    const std::vector<const service_option*>& pool = available.empty() ? tripped : available;
     if (pool.empty()) {
         return std::nullopt;
     }
--- a/src/libs/routing/engineloads.cpp
+++ b/src/libs/routing/engineloads.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps new work away for the pause, doubled that number of times, up to the longest.
+/// Avoids the upstream for `pause`, doubled `doublings` times, up to `longest`.
 void extend_avoidance(engine_load& load, time_point now, duration pause, duration longest, unsigned doublings)
 {
     for (unsigned turn = 0; turn < doublings && pause < longest; ++turn) {
@@ -51,7 +51,7 @@
     }
     engine_load& load = found->second;
     --load.requests;
-    // Sums of fractions drift; an idle upstream holds nothing.
+    // Avoids an accumulated rounding error on an idle upstream.
     load.token_layers = load.requests == 0 ? 0 : std::max(0.0, load.token_layers - token_layers);
 }
 
--- a/src/libs/routing/layerpath.cpp
+++ b/src/libs/routing/layerpath.cpp
@@ -9,47 +9,49 @@
 
 namespace {
 
-/// The pipe between halls is shared by all, so that a crossing costs others as well; from trials.
+/// Weight of a hop between data halls. The pipe is shared, so a crossing also delays other requests.
 constexpr double crossing_weight = 100;
-/// A request that enters in another hall than its host's moves each event through the pipe, but no prompt
-/// from engine to engine: a fifth of a crossing's weight. It keeps the hosts of one hall from all taking the
-/// cheapest path of another; with a weight of one, 36 in 100 requests of a deployment of three halls entered
-/// in their own.
+/// Weight of a path whose head is in another data hall than the host. Each event moves through the pipe, but
+/// no prompt is sent from engine to engine, hence a fifth of the weight of a crossing. It keeps the hosts of
+/// one hall from all using the cheapest path of another; with a weight of one, 36 in 100 requests of a
+/// deployment of three halls entered in their own.
 constexpr double entry_weight = 20;
-/// How strongly the square of a pipe's use raises the price of a crossing: half used, it is eleven times
-/// dearer.
+/// Weight of the squared utilization of a pipe in the cost of a crossing: at a utilization of one half, the
+/// cost is eleven times that of an idle pipe.
 constexpr double pipe_utilization_weight = 40;
-/// Cost in milliseconds for each layer of an upstream whose room is used up; it grows with the square of the
-/// share in use. A stream's length matters less than that nothing is preempted, so this goes before speed.
+/// Cost of each layer of an upstream without free capacity, in milliseconds. The cost grows with the square
+/// of the utilization. Avoiding preemption matters more than the duration of a stream, so this outweighs
+/// speed.
 constexpr double full_capacity_ms = 80;
-/// Beyond this share of the room, an upstream would preempt requests, so it is taken only where nothing else
-/// holds the layer.
+/// Beyond this capacity utilization an upstream preempts requests, so it is used only if no other one holds
+/// the layer.
 constexpr double preemption_utilization = 0.85;
 constexpr double preemption_cost_ms = 20'000;
-/// How steeply the price of a slot grows with the share that is taken: a tenth of that of used-up room at
-/// three quarters.
+/// Exponent of the share of used request slots in the cost of a slot: at three quarters, the cost is a tenth
+/// of that of an upstream without free capacity.
 constexpr double slot_cost_exponent = 8;
-/// Engines refuse longer paths.
+/// Engines reject longer paths.
 constexpr std::size_t max_path_stages = 32;
 constexpr double milliseconds_per_second = 1000;
 
-/// An upstream that may run some layers, with its predicted cost.
+/// An upstream that can run some layers, with its predicted costs in milliseconds.
 struct candidate
 {
     const discovered_upstream* upstream = nullptr;
-    std::size_t hall = 0; ///< its number in the search
-    layer_span runs; ///< layers that it may run
-    layer_span kept; ///< of these, what it runs already for the request that is led elsewhere
-    double layer_ms = 0; ///< one layer for the whole request
-    double reused_layer_ms = 0; ///< one layer that it runs already
-    double entry_ms = 0; ///< to begin there
+    std::size_t hall = 0; ///< index in `path_search::halls`
+    layer_span runs; ///< layers that it can run
+    layer_span kept; ///< of these, the layers that it already runs for a request to be rerouted
+    double layer_ms = 0; ///< of one layer for the whole request
+    double reused_layer_ms = 0; ///< of one layer in `kept`, whose prompt cache is reused
+    double entry_ms = 0; ///< of a request slot, paid by the head
 };
 
-/// A factor for the cost of one upstream. Hosts hear of each other's work only every second or two, and of
-/// stale figures the cheapest path is worse than a drawn one, as all hosts take it until they hear of it (M.
-/// Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11, 2000). Of two upstreams, one that costs half
-/// as much is drawn four times in five. With 59 hosts, all took one path for a second or more; drawn,
-/// requests that had their first event in time on a day without faults rose from 88.9 to 99.9 in 100.
+/// Returns a random factor for the cost of one upstream. Hosts exchange load reports only every second or
+/// two. With stale loads, random choices are better than the cheapest path, which all hosts would use until
+/// the next reports (M. Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11, 2000). Of two upstreams,
+/// one that costs half as much is chosen four times in five. With 59 hosts and no random factor, all used one
+/// path for a second or more; the factor raised the share of requests with their first event in time, on a
+/// day without faults, from 88.9 to 99.9 in 100.
 double draw_cost_factor(const random_function& random)
 {
     if (!random) {
@@ -58,11 +60,11 @@
     constexpr unsigned fraction_bits = 53;
     const double share = (static_cast<double>(random() >> (64U - fraction_bits)) + 0.5)
         / static_cast<double>(std::uint64_t{1} << fraction_bits);
-    // The least of such draws is the more likely the less the square of its cost.
+    // With this distribution, the probability to be the cheapest is inverse to the square of the cost.
     return std::sqrt(-std::log(share));
 }
 
-/// What all hosts' requests take of an upstream.
+/// Usage of an upstream by the requests of all hosts, with its slowdown.
 struct engine_usage
 {
     double token_layers = 0;
@@ -76,7 +78,7 @@
     return {loads.total_token_layers(load), loads.total_requests(load), load.pace};
 }
 
-/// Time to read the prompt through one layer.
+/// Predicts the prefill time of the prompt in one layer.
 double predict_prompt_ms(
     const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
 {
@@ -88,26 +90,27 @@
     return whole_ms * use.pace / profile.layers;
 }
 
-/// Time of one token's step in one layer.
+/// Predicts the time of one decode step in one layer.
 double predict_step_ms(const engine_profile& profile, const card_kind& card, const engine_usage& use)
 {
     const double step_ms = profile.step_ms * card.step_factor + use.requests * profile.step_ms_per_request;
     return step_ms * use.pace / profile.layers;
 }
 
-/// Time of the answer's steps in one layer.
+/// Predicts the time of all decode steps of the answer in one layer.
 double predict_steps_ms(
     const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
 {
     return question.answer_tokens * predict_step_ms(profile, card, use);
 }
 
-/// The share of an upstream's room that is used once it holds `wanted` more.
+/// Returns the capacity utilization of an upstream with `wanted` more tokens times layers; 1 if it has no
+/// capacity.
 double utilization_with(const engine_profile& profile, const card_kind& card,
     const discovered_upstream& upstream, const engine_usage& use, double wanted)
 {
-    const double room = token_layer_capacity(profile, card, upstream.held.count());
-    return room <= 0 ? 1 : (use.token_layers + wanted) / room;
+    const double capacity = token_layer_capacity(profile, card, upstream.held.count());
+    return capacity <= 0 ? 1 : (use.token_layers + wanted) / capacity;
 }
 
 double capacity_cost(const engine_profile& profile, const card_kind& card,
@@ -115,17 +118,17 @@
 {
     const double wanted = (question.prompt_tokens + question.answer_tokens) * upstream.held.count();
     const double share = utilization_with(profile, card, upstream, use, wanted);
-    // A running request that is led elsewhere is short of time; its tokens were there before, so it rather
-    // squeezes in than goes through the pipe to another hall.
+    // A request that is being rerouted is short of time, and its tokens are part of the present load, so it
+    // uses a full upstream rather than the pipe to another data hall.
     const bool avoids_full = question.current_path.empty() && share > preemption_utilization;
     return full_capacity_ms * share * share + (avoids_full ? preemption_cost_ms * share : 0);
 }
 
-/// Price of beginning at an upstream: the first of a path holds a slot for the whole of a request. By room
-/// alone, upstreams with much memory were taken until their 192 slots were used up, at 26 in 100 of all
-/// sends. A queue for that many forms only when nearly all are taken, and slow upstreams hold theirs for
-/// longer, so the price stays low until then: with the square of the share, requests were driven to slow
-/// paths (credit earned before 6 hosts on five days of high load 0.04 lower than without a price).
+/// Returns the cost of a request slot at the head, which holds it for the whole request. By capacity alone,
+/// upstreams with much memory were used until their 192 slots were taken, at 26 in 100 of all sends. With
+/// that many slots a queue forms only when nearly all are taken, and slow upstreams hold theirs for longer,
+/// so the cost stays low until then. With the square of the share, requests were driven to slow paths: on
+/// five days of high load with 6 hosts, the credit earned was 0.04 lower than without this cost.
 double slot_cost(const engine_profile& profile, const engine_usage& use)
 {
     if (profile.request_slots == 0) {
@@ -162,12 +165,12 @@
     }
 
 private:
-    /// The cheapest way to have run all layers up to this one, with this candidate running the last.
+    /// End of the cheapest path over all layers up to this one, with this candidate running the last.
     struct step
     {
         std::size_t candidate = 0;
         double cost = 0;
-        std::size_t previous = 0; ///< index in the layer before
+        std::size_t previous = 0; ///< index in the row of the previous layer
     };
 
     void add_candidate(const discovered_upstream& upstream, const engine_load& load, const engine_usage& use)
@@ -199,7 +202,7 @@
         this->candidates.push_back(item);
     }
 
-    /// The number of a hall in this search.
+    /// Returns the index of a data hall, adding it if it is new.
     std::size_t find_hall(const data_hall_id& hall)
     {
         const auto found = std::find(this->halls.begin(), this->halls.end(), hall);
@@ -210,7 +213,8 @@
         return static_cast<std::size_t>(found - this->halls.begin());
     }
 
-    /// Prices each way between two halls once; the search compares them for every layer and pair of holders.
+    /// Computes the costs between each two data halls once, as the search reads them for every layer and pair
+    /// of holders.
     void compute_hop_costs()
     {
         for (const data_hall_id& from : this->halls) {
@@ -226,17 +230,17 @@
         return !this->question.current_path.empty() && this->question.current_path.front().id == id;
     }
 
-    /// What the upstream may go on to run for the request that is led elsewhere.
+    /// Returns the layers that the upstream can continue to run for a request to be rerouted.
     [[nodiscard]] layer_span find_reusable_span(
         const discovered_upstream& upstream, const engine_load& load) const
     {
-        for (const path_stage& part : this->question.current_path) {
-            if (part.id != upstream.id) {
+        for (const path_stage& stage : this->question.current_path) {
+            if (stage.id != upstream.id) {
                 continue;
             }
-            const bool is_sound = !load.has_failed(this->question.now)
-                && this->question.avoided.count(upstream.id) == 0 && upstream.held.contains(part.span);
-            return is_sound || this->is_head(part.id) ? part.span : layer_span();
+            const bool is_usable = !load.has_failed(this->question.now)
+                && this->question.avoided.count(upstream.id) == 0 && upstream.held.contains(stage.span);
+            return is_usable || this->is_head(stage.id) ? stage.span : layer_span();
         }
         return {};
     }
@@ -262,7 +266,7 @@
             const bool leads = layer == 0 && this->question.may_be_head;
             return item.runs.holds(layer) && (!leads || this->question.may_be_head(item.upstream->id));
         }
-        // The head keeps its layers for the running request, also those that it has given up since.
+        // The head keeps its layers for the running request, including those unloaded since.
         const layer_span& first = this->question.current_path.front().span;
         return this->is_head(item.upstream->id) ? first.holds(layer)
                                                 : item.runs.holds(layer) && !first.holds(layer);
@@ -282,7 +286,8 @@
         }
     }
 
-    /// The cheapest way to this candidate from the steps of the layer before, without the layer itself.
+    /// Returns the cheapest step to this candidate from the row of the previous layer, without the cost of
+    /// the layer itself.
     [[nodiscard]] step find_cheapest_step(const std::vector<step>& before, std::size_t index) const
     {
         const std::size_t hall = this->candidates[index].hall;
@@ -302,7 +307,7 @@
     [[nodiscard]] double entry_cost(const candidate& item) const
     {
         if (this->is_head(item.upstream->id)) {
-            return 0; // the running request stays there
+            return 0; // the running request keeps its slot
         }
         const bool is_here = item.upstream->data_hall == this->question.origin;
         return item.entry_ms + (is_here ? 0 : entry_weight * this->question.answer_tokens * engine_hop_ms);
@@ -322,8 +327,8 @@
         return this->join(holders);
     }
 
-    /// Joins layers of one holder to parts. A holder that comes twice runs what lies between as well, which
-    /// it holds, since an upstream may stand in a path only once.
+    /// Merges the layers of each holder into stages. As an upstream may occur in a path only once, a holder
+    /// that occurs twice also runs the layers between, which it holds.
     [[nodiscard]] layer_path join(const std::vector<std::size_t>& holders) const
     {
         layer_path path;
@@ -343,16 +348,16 @@
     const engine_profile& profile;
     const path_query& question;
     std::vector<candidate> candidates;
-    std::vector<data_hall_id> halls; ///< of the candidates
-    std::vector<std::vector<double>> hop_costs; ///< in milliseconds, from hall to hall
+    std::vector<data_hall_id> halls; ///< data halls of the candidates
+    std::vector<std::vector<double>> hop_costs; ///< in milliseconds, by the indices of the data halls
 };
 
 } // namespace
 
 double token_layer_capacity(const engine_profile& profile, const card_kind& card, unsigned layers)
 {
-    const double left_mb = card.memory_mb - layers * profile.layer_mb;
-    return profile.token_layer_mb() <= 0 ? 0 : std::max(0.0, left_mb / profile.token_layer_mb());
+    const double free_mb = card.memory_mb - layers * profile.layer_mb;
+    return profile.token_layer_mb() <= 0 ? 0 : std::max(0.0, free_mb / profile.token_layer_mb());
 }
 
 duration predict_prompt_time(const engine_profile& profile, const upstream_directory& directory,
@@ -361,11 +366,11 @@
     if (profile.prompt_tokens_per_s <= 0 || profile.layers == 0) {
         return duration::zero();
     }
-    double layers = 0; // weighed by how slowly each card reads
-    for (const path_stage& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    double layers = 0; // weighted by the prompt factor of each card
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
-        layers += part.span.count() * (card == nullptr ? 1 : card->prompt_factor);
+        layers += stage.span.count() * (card == nullptr ? 1 : card->prompt_factor);
     }
     const double seconds = prompt_tokens / profile.prompt_tokens_per_s * layers / profile.layers;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
@@ -375,11 +380,11 @@
     const engine_loads& loads, const layer_path& path)
 {
     double sum_ms = 0;
-    for (const path_stage& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
-            sum_ms += part.span.count() * predict_step_ms(profile, *card, usage_of(loads, part.id));
+            sum_ms += stage.span.count() * predict_step_ms(profile, *card, usage_of(loads, stage.id));
         }
         sum_ms += engine_hop_ms;
     }
@@ -390,8 +395,8 @@
     const std::function<void(const data_hall_id& from, const data_hall_id& to)>& visit)
 {
     const data_hall_id* last = nullptr;
-    for (const path_stage& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         if (entry == nullptr) {
             continue;
         }
@@ -414,13 +419,13 @@
     const engine_loads& loads, const layer_path& path, double tokens)
 {
     double fullest = 0;
-    for (const path_stage& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
             fullest = std::max(fullest,
                 utilization_with(
-                    profile, *card, entry->upstream, usage_of(loads, part.id), tokens * part.span.count()));
+                    profile, *card, entry->upstream, usage_of(loads, stage.id), tokens * stage.span.count()));
         }
     }
     return fullest;
--- a/src/libs/routing/retryallowance.cpp
+++ b/src/libs/routing/retryallowance.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/// Other hosts may believe in another number of live hosts for a moment, and windows overlap.
-constexpr double safe_share = 0.8;
+/// Margin for hosts that temporarily count a different number of live hosts, and for overlapping windows.
+constexpr double safety_factor = 0.8;
 
 void forget_before(std::deque<time_point>& moments, time_point limit)
 {
@@ -36,7 +36,7 @@
     const double earned = this->settings.ratio * static_cast<double>(sends.requests.size());
     const bool is_new = this->started && now - *this->started < this->settings.window;
     const double slack = is_new ? 0 : this->settings.slack / static_cast<double>(this->sharing_hosts);
-    return safe_share * (earned + slack) - static_cast<double>(sends.repeats.size());
+    return safety_factor * (earned + slack) - static_cast<double>(sends.repeats.size());
 }
 
 bool retry_allowance::take(const service_id& service, time_point now)
--- a/src/libs/routing/retrybudget.cpp
+++ b/src/libs/routing/retrybudget.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Retries that a quiet host may make at once, so that a lone failure is always retried.
+/// Retries that an idle host may send at once, so that single failures are always retried.
 constexpr double min_reserve = 10.0;
-/// Retries kept for each request in flight: a holder of a quarter of a host's streams may die at once.
+/// Reserve per request in flight: an upstream that dies may hold a quarter of a host's streams.
 constexpr double reserve_per_request = 0.25;
 
 } // namespace
--- a/src/libs/routing/routingtable.cpp
+++ b/src/libs/routing/routingtable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps the `holders_per_stage` holders with the highest rendezvous score for this host.
+/// Reduces `holders` to the `holders_per_stage` ones with the highest rendezvous score for this host.
 void keep_subset(std::vector<const stage_holder*>& holders, const host_id& self)
 {
     if (holders.size() <= holders_per_stage) {
--- a/src/libs/routing/upstreamload.cpp
+++ b/src/libs/routing/upstreamload.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// A report older than this says nothing about the present queue.
+/// Older reports say nothing about the current load.
 constexpr duration report_lifetime = std::chrono::seconds(5);
-/// Weight of the newest answer in the smoothed time: 1 / 8, as in TCP's round-trip estimate (RFC 6298).
+/// The newest answer has a weight of 1 / 8 in the smoothed time, as in TCP's round-trip estimate (RFC 6298).
 constexpr std::int64_t smoothing_divisor = 8;
-/// A pause doubles at most this often, so that the shift below stays small.
-constexpr std::uint32_t most_doublings = 16;
+/// Bounds the shift that doubles the pause.
+constexpr std::uint32_t max_doublings = 16;
 
 } // namespace
 
@@ -52,7 +52,7 @@
     if (!was_probe && this->failures_in_a_row < this->settings.failures_to_open) {
         return;
     }
-    const std::uint32_t doublings = std::min(this->pauses_in_a_row, most_doublings);
+    const std::uint32_t doublings = std::min(this->pauses_in_a_row, max_doublings);
     const duration pause = this->settings.first_pause * (std::int64_t{1} << doublings);
     this->is_tripped = true;
     this->pause_end = std::max(this->pause_end, now + std::min(pause, this->settings.longest_pause));
