--- a/src/libs/directory/upstreamdirectory.cpp
+++ b/src/libs/directory/upstreamdirectory.cpp
@@ -51,51 +51,51 @@
 
 bool upstream_directory::is_superseded(const discovered_upstream& upstream) const
 {
-    const directory_entry* namesake = this->find_by_name(upstream_name(upstream.id));
-    if (namesake != nullptr && is_older_start(upstream.born, namesake->upstream.born)) {
+    const directory_entry* same_name = this->find_by_name(upstream_name(upstream.id));
+    if (same_name != nullptr && is_older_start(upstream.born, same_name->upstream.born)) {
         return true;
     }
     const auto found = this->by_address.find({upstream.service, upstream.address});
     if (found == this->by_address.end()) {
         return false;
     }
-    const address_owner& holder = found->second;
-    return is_older_start(upstream.born, holder.born) || holder.superseded.count(upstream.id) != 0;
+    const address_owner& owner = found->second;
+    return is_older_start(upstream.born, owner.born) || owner.superseded.count(upstream.id) != 0;
 }
 
 bool upstream_directory::is_newer_start(
-    const discovered_upstream& upstream, const address_owner& holder, time_point now)
+    const discovered_upstream& upstream, const address_owner& owner, time_point now)
 {
-    if (upstream.born && holder.born) {
-        return is_older_start(holder.born, upstream.born);
+    if (upstream.born && owner.born) {
+        return is_older_start(owner.born, upstream.born);
     }
-    return holder.first_seen < now;
+    return owner.first_seen < now;
 }
 
 std::vector<upstream_id> upstream_directory::claim_address(
     const discovered_upstream& upstream, time_point now)
 {
     std::vector<upstream_id> ended;
-    const directory_entry* namesake = this->find_by_name(upstream_name(upstream.id));
-    if (namesake != nullptr && namesake->upstream.id != upstream.id) {
-        ended.push_back(namesake->upstream.id);
+    const directory_entry* same_name = this->find_by_name(upstream_name(upstream.id));
+    if (same_name != nullptr && same_name->upstream.id != upstream.id) {
+        ended.push_back(same_name->upstream.id);
     }
     const auto [found, is_free] = this->by_address.try_emplace({upstream.service, upstream.address});
-    address_owner& holder = found->second;
-    if (!is_free && holder.id != upstream.id && is_newer_start(upstream, holder, now)) {
-        holder.superseded[holder.id] = now;
-        const bool is_listed = !holder.released_at;
-        if (is_listed && (namesake == nullptr || namesake->upstream.id != holder.id)) {
-            ended.push_back(holder.id);
+    address_owner& owner = found->second;
+    if (!is_free && owner.id != upstream.id && is_newer_start(upstream, owner, now)) {
+        owner.superseded[owner.id] = now;
+        const bool is_listed = !owner.released_at;
+        if (is_listed && (same_name == nullptr || same_name->upstream.id != owner.id)) {
+            ended.push_back(owner.id);
         }
     }
     for (const upstream_id& id : ended) {
         this->drop(id, now);
     }
-    holder.id = upstream.id;
-    holder.born = upstream.born;
-    holder.first_seen = now;
-    holder.released_at.reset();
+    owner.id = upstream.id;
+    owner.born = upstream.born;
+    owner.first_seen = now;
+    owner.released_at.reset();
     this->by_name[upstream_name(upstream.id)] = upstream.id;
     return ended;
 }
@@ -143,20 +143,20 @@
 
 void upstream_directory::release_address(const discovered_upstream& upstream, time_point now)
 {
-    const auto holder = this->by_address.find({upstream.service, upstream.address});
-    if (holder != this->by_address.end() && holder->second.id == upstream.id) {
-        holder->second.released_at = now;
+    const auto owner = this->by_address.find({upstream.service, upstream.address});
+    if (owner != this->by_address.end() && owner->second.id == upstream.id) {
+        owner->second.released_at = now;
     }
 }
 
 void upstream_directory::remove_expired_starts(time_point now)
 {
-    const auto is_long_ago = [now](time_point moment) { return now - moment >= ended_start_retention; };
-    for (auto& [at, holder] : this->by_address) {
-        std::erase_if(holder.superseded, [&](const auto& item) { return is_long_ago(item.second); });
+    const auto is_expired = [now](time_point moment) { return now - moment >= ended_start_retention; };
+    for (auto& [at, owner] : this->by_address) {
+        std::erase_if(owner.superseded, [&](const auto& item) { return is_expired(item.second); });
     }
     std::erase_if(this->by_address,
-        [&](const auto& item) { return item.second.released_at && is_long_ago(*item.second.released_at); });
+        [&](const auto& item) { return item.second.released_at && is_expired(*item.second.released_at); });
 }
 
 void upstream_directory::remove(const upstream_id& id, time_point now)
@@ -196,19 +196,19 @@
 std::vector<upstream_id> upstream_directory::drop_lapsed(time_point now)
 {
     this->remove_expired_starts(now);
-    std::vector<upstream_id> over;
+    std::vector<upstream_id> expired;
     if (this->is_store_disturbed(now)) {
-        return over;
+        return expired;
     }
     for (const auto& [id, entry] : this->items) {
         if (entry.is_lapsed) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const upstream_id& id : over) {
+    for (const upstream_id& id : expired) {
         this->drop(id, now);
     }
-    return over;
+    return expired;
 }
 
 const directory_entry* upstream_directory::find(const upstream_id& id) const
--- a/src/libs/directory/upstreamdirectory.h
+++ b/src/libs/directory/upstreamdirectory.h
@@ -127,7 +127,7 @@
     [[nodiscard]] bool is_superseded(const discovered_upstream& upstream) const;
     /// Returns whether this start, which is not listed, is newer than the owner of its address.
     [[nodiscard]] static bool is_newer_start(
-        const discovered_upstream& upstream, const address_owner& holder, time_point now);
+        const discovered_upstream& upstream, const address_owner& owner, time_point now);
     /// Makes the start the owner of its address, and removes older starts of the address or the name. Returns
     /// the ids of those that were listed.
     std::vector<upstream_id> claim_address(const discovered_upstream& upstream, time_point now);
--- a/src/libs/engines/engineclient.cpp
+++ b/src/libs/engines/engineclient.cpp
@@ -27,7 +27,7 @@
     return is_refusal(response) ? send_certainty::refused : send_certainty::may_have_run;
 }
 
-send_failure read_refusal(const http_response& response, const std::string& peer)
+send_failure make_step_failure(const http_response& response, const std::string& peer)
 {
     send_failure failure;
     failure.certainty = certainty_of(response);
@@ -55,7 +55,7 @@
         stage.address, make_request("/engine/v1/step", encode_step_request(step)),
         [peer, on_answer, on_failure](const http_response& response) {
             if (response.status != http_status::ok) {
-                on_failure(read_refusal(response, peer));
+                on_failure(make_step_failure(response, peer));
                 return;
             }
             step_answer answer;
--- a/src/libs/engines/sendfailure.cpp
+++ b/src/libs/engines/sendfailure.cpp
@@ -31,11 +31,11 @@
     if (!text) {
         return std::nullopt;
     }
-    constexpr int most_seconds = 86'400;
+    constexpr int max_seconds = 86'400;
     int seconds = 0;
     const char* end = text->data() + text->size();
     const auto [stop, failure] = std::from_chars(text->data(), end, seconds);
-    if (failure != std::errc() || stop != end || seconds < 0 || seconds > most_seconds) {
+    if (failure != std::errc() || stop != end || seconds < 0 || seconds > max_seconds) {
         return std::nullopt;
     }
     return std::chrono::seconds(seconds);
--- a/src/libs/routing/engineloads.cpp
+++ b/src/libs/routing/engineloads.cpp
@@ -31,9 +31,9 @@
 
 const engine_load& engine_loads::of(const upstream_id& id) const
 {
-    static const engine_load none;
+    static const engine_load empty_load;
     const auto found = this->loads.find(id);
-    return found == this->loads.end() ? none : found->second;
+    return found == this->loads.end() ? empty_load : found->second;
 }
 
 void engine_loads::add(const upstream_id& id, double token_layers)
--- a/src/libs/routing/layerpath.cpp
+++ b/src/libs/routing/layerpath.cpp
@@ -80,13 +80,13 @@
 
 /// Predicts the prefill time of the prompt in one layer.
 double predict_prompt_ms(
-    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
+    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& query)
 {
     if (profile.prompt_tokens_per_s <= 0) {
         return 0;
     }
     const double whole_ms =
-        question.prompt_tokens * milliseconds_per_second / profile.prompt_tokens_per_s * card.prompt_factor;
+        query.prompt_tokens * milliseconds_per_second / profile.prompt_tokens_per_s * card.prompt_factor;
     return whole_ms * use.pace / profile.layers;
 }
 
@@ -99,9 +99,9 @@
 
 /// Predicts the time of all decode steps of the answer in one layer.
 double predict_steps_ms(
-    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& question)
+    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& query)
 {
-    return question.answer_tokens * predict_step_ms(profile, card, use);
+    return query.answer_tokens * predict_step_ms(profile, card, use);
 }
 
 /// Returns the capacity utilization of an upstream with `wanted` more tokens times layers; 1 if it has no
@@ -114,13 +114,13 @@
 }
 
 double capacity_cost(const engine_profile& profile, const card_kind& card,
-    const discovered_upstream& upstream, const engine_usage& use, const path_query& question)
+    const discovered_upstream& upstream, const engine_usage& use, const path_query& query)
 {
-    const double wanted = (question.prompt_tokens + question.answer_tokens) * upstream.held.count();
+    const double wanted = (query.prompt_tokens + query.answer_tokens) * upstream.held.count();
     const double share = utilization_with(profile, card, upstream, use, wanted);
     // A request that is being rerouted is short of time, and its tokens are part of the present load, so it
     // uses a full upstream rather than the pipe to another data hall.
-    const bool avoids_full = question.current_path.empty() && share > preemption_utilization;
+    const bool avoids_full = query.current_path.empty() && share > preemption_utilization;
     return full_capacity_ms * share * share + (avoids_full ? preemption_cost_ms * share : 0);
 }
 
@@ -142,9 +142,9 @@
 {
 public:
     path_search(const engine_profile& profile, const upstream_directory& directory, const engine_loads& loads,
-        const path_query& question)
+        const path_query& query)
         : profile(profile)
-        , question(question)
+        , query(query)
     {
         for (const auto& [id, entry] : directory.entries()) {
             this->add_candidate(entry.upstream, loads.of(id), usage_of(loads, id));
@@ -175,7 +175,7 @@
 
     void add_candidate(const discovered_upstream& upstream, const engine_load& load, const engine_usage& use)
     {
-        if (upstream.service != this->question.service) {
+        if (upstream.service != this->query.service) {
             return;
         }
         const card_kind* card = this->profile.find_card(upstream.card, upstream.held.end);
@@ -185,17 +185,17 @@
         candidate item;
         item.upstream = &upstream;
         item.kept = this->find_reusable_span(upstream, load);
-        const bool accepts_requests = !upstream.is_leaving && load.accepts_requests(this->question.now)
-            && this->question.avoided.count(upstream.id) == 0;
+        const bool accepts_requests = !upstream.is_leaving && load.accepts_requests(this->query.now)
+            && this->query.avoided.count(upstream.id) == 0;
         item.runs = accepts_requests && upstream.held.contains(item.kept) ? upstream.held : item.kept;
         if (item.runs.is_empty()) {
             return;
         }
-        item.reused_layer_ms = predict_steps_ms(this->profile, *card, use, this->question);
+        item.reused_layer_ms = predict_steps_ms(this->profile, *card, use, this->query);
         const double predicted_ms = item.reused_layer_ms
-            + predict_prompt_ms(this->profile, *card, use, this->question)
-            + capacity_cost(this->profile, *card, upstream, use, this->question);
-        const double draw = draw_cost_factor(this->question.random);
+            + predict_prompt_ms(this->profile, *card, use, this->query)
+            + capacity_cost(this->profile, *card, upstream, use, this->query);
+        const double draw = draw_cost_factor(this->query.random);
         item.layer_ms = predicted_ms * draw;
         item.entry_ms = draw * slot_cost(this->profile, use);
         item.hall = this->find_hall(upstream.data_hall);
@@ -227,19 +227,19 @@
 
     [[nodiscard]] bool is_head(const upstream_id& id) const
     {
-        return !this->question.current_path.empty() && this->question.current_path.front().id == id;
+        return !this->query.current_path.empty() && this->query.current_path.front().id == id;
     }
 
     /// Returns the layers that the upstream can continue to run for a request to be rerouted.
     [[nodiscard]] layer_span find_reusable_span(
         const discovered_upstream& upstream, const engine_load& load) const
     {
-        for (const path_stage& stage : this->question.current_path) {
+        for (const path_stage& stage : this->query.current_path) {
             if (stage.id != upstream.id) {
                 continue;
             }
-            const bool is_usable = !load.has_failed(this->question.now)
-                && this->question.avoided.count(upstream.id) == 0 && upstream.held.contains(stage.span);
+            const bool is_usable = !load.has_failed(this->query.now)
+                && this->query.avoided.count(upstream.id) == 0 && upstream.held.contains(stage.span);
             return is_usable || this->is_head(stage.id) ? stage.span : layer_span();
         }
         return {};
@@ -247,27 +247,27 @@
 
     [[nodiscard]] double hop_cost(const data_hall_id& from, const data_hall_id& to) const
     {
-        const double tokens = this->question.answer_tokens;
+        const double tokens = this->query.answer_tokens;
         if (from == to) {
             return tokens * engine_hop_ms;
         }
-        const double bits = this->profile.crossing_bits(this->question.prompt_tokens);
+        const double bits = this->profile.crossing_bits(this->query.prompt_tokens);
         const double transfer_ms = this->profile.hall_pipe_mbps <= 0
             ? 0
             : bits / (this->profile.hall_pipe_mbps * milliseconds_per_second);
-        const double share = this->question.pipe_utilization ? this->question.pipe_utilization(from, to) : 0;
+        const double share = this->query.pipe_utilization ? this->query.pipe_utilization(from, to) : 0;
         return crossing_weight * (transfer_ms + tokens * engine_hop_ms)
             * (1 + pipe_utilization_weight * share * share);
     }
 
     [[nodiscard]] bool may_run(const candidate& item, unsigned layer) const
     {
-        if (this->question.current_path.empty()) {
-            const bool leads = layer == 0 && this->question.may_be_head;
-            return item.runs.holds(layer) && (!leads || this->question.may_be_head(item.upstream->id));
+        if (this->query.current_path.empty()) {
+            const bool leads = layer == 0 && this->query.may_be_head;
+            return item.runs.holds(layer) && (!leads || this->query.may_be_head(item.upstream->id));
         }
         // The head keeps its layers for the running request, including those unloaded since.
-        const layer_span& first = this->question.current_path.front().span;
+        const layer_span& first = this->query.current_path.front().span;
         return this->is_head(item.upstream->id) ? first.holds(layer)
                                                 : item.runs.holds(layer) && !first.holds(layer);
     }
@@ -309,8 +309,8 @@
         if (this->is_head(item.upstream->id)) {
             return 0; // the running request keeps its slot
         }
-        const bool is_here = item.upstream->data_hall == this->question.origin;
-        return item.entry_ms + (is_here ? 0 : entry_weight * this->question.answer_tokens * engine_hop_ms);
+        const bool is_here = item.upstream->data_hall == this->query.origin;
+        return item.entry_ms + (is_here ? 0 : entry_weight * this->query.answer_tokens * engine_hop_ms);
     }
 
     [[nodiscard]] layer_path trace(const std::vector<std::vector<step>>& table) const
@@ -346,7 +346,7 @@
     }
 
     const engine_profile& profile;
-    const path_query& question;
+    const path_query& query;
     std::vector<candidate> candidates;
     std::vector<data_hall_id> halls; ///< data halls of the candidates
     std::vector<std::vector<double>> hop_costs; ///< in milliseconds, by the indices of the data halls
@@ -439,12 +439,12 @@
 }
 
 std::optional<layer_path> find_layer_path(const engine_profile& profile, const upstream_directory& directory,
-    const engine_loads& loads, const path_query& question)
+    const engine_loads& loads, const path_query& query)
 {
     if (profile.layers == 0) {
         return std::nullopt;
     }
-    std::optional<layer_path> path = path_search(profile, directory, loads, question).run();
+    std::optional<layer_path> path = path_search(profile, directory, loads, query).run();
     return path && path->size() <= max_path_stages ? path : std::nullopt;
 }
 
--- a/src/libs/routing/layerpath.h
+++ b/src/libs/routing/layerpath.h
@@ -79,6 +79,6 @@
 /// cost of crossing data halls. A stage may run a part of the layers that its upstream holds. Returns nothing
 /// if some layer has no usable holder, or if the path has more stages than engines accept.
 std::optional<layer_path> find_layer_path(const engine_profile& profile, const upstream_directory& directory,
-    const engine_loads& loads, const path_query& question);
+    const engine_loads& loads, const path_query& query);
 
 } // namespace sailtiller
--- a/src/libs/routing/routingtable.cpp
+++ b/src/libs/routing/routingtable.cpp
@@ -70,9 +70,9 @@
 
 const std::vector<service_option>& routing_table::options_of(const service_id& name) const
 {
-    static const std::vector<service_option> none;
+    static const std::vector<service_option> no_options;
     const auto found = this->services.find(name);
-    return found == this->services.end() ? none : found->second;
+    return found == this->services.end() ? no_options : found->second;
 }
 
 std::size_t routing_table::stage_count() const
--- a/src/libs/routing/upstreamload.cpp
+++ b/src/libs/routing/upstreamload.cpp
@@ -35,8 +35,8 @@
 
 void upstream_load::note_success(duration time)
 {
-    this->failures_in_a_row = 0;
-    this->pauses_in_a_row = 0;
+    this->consecutive_failures = 0;
+    this->consecutive_pauses = 0;
     this->is_tripped = false;
     if (this->smoothed_time) {
         *this->smoothed_time += (time - *this->smoothed_time) / smoothing_divisor;
@@ -47,16 +47,16 @@
 
 void upstream_load::note_failure(time_point now)
 {
-    ++this->failures_in_a_row;
+    ++this->consecutive_failures;
     const bool was_probe = this->state(now) == breaker_state::half_open;
-    if (!was_probe && this->failures_in_a_row < this->settings.failures_to_open) {
+    if (!was_probe && this->consecutive_failures < this->settings.failures_to_open) {
         return;
     }
-    const std::uint32_t doublings = std::min(this->pauses_in_a_row, max_doublings);
+    const std::uint32_t doublings = std::min(this->consecutive_pauses, max_doublings);
     const duration pause = this->settings.first_pause * (std::int64_t{1} << doublings);
     this->is_tripped = true;
     this->pause_end = std::max(this->pause_end, now + std::min(pause, this->settings.longest_pause));
-    ++this->pauses_in_a_row;
+    ++this->consecutive_pauses;
 }
 
 void upstream_load::note_retry_after(time_point now, duration wait)
--- a/src/libs/routing/upstreamload.h
+++ b/src/libs/routing/upstreamload.h
@@ -62,8 +62,8 @@
 private:
     breaker_settings settings;
     std::uint32_t own_in_flight = 0;
-    std::uint32_t failures_in_a_row = 0;
-    std::uint32_t pauses_in_a_row = 0;
+    std::uint32_t consecutive_failures = 0;
+    std::uint32_t consecutive_pauses = 0;
     bool is_tripped = false;
     bool leaving = false;
     time_point pause_end{};
--- a/src/libs/routing/upstreampauses.cpp
+++ b/src/libs/routing/upstreampauses.cpp
@@ -23,9 +23,9 @@
     if (this->ends.size() < this->settings.most_records) {
         return;
     }
-    const auto ends_first = std::min_element(this->ends.begin(), this->ends.end(),
+    const auto earliest = std::min_element(this->ends.begin(), this->ends.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    this->ends.erase(ends_first);
+    this->ends.erase(earliest);
 }
 
 std::optional<time_point> upstream_pauses::end_of(const upstream_id& id, time_point now) const
--- a/tests/auto/routing/tst_layerpath.cpp
+++ b/tests/auto/routing/tst_layerpath.cpp
@@ -16,11 +16,11 @@
 protected:
     layer_path_test()
     {
-        this->question.service = service_id("llm");
-        this->question.origin = data_hall_id("x");
-        this->question.prompt_tokens = 80;
-        this->question.answer_tokens = 20;
-        this->question.now = this->now;
+        this->query.service = service_id("llm");
+        this->query.origin = data_hall_id("x");
+        this->query.prompt_tokens = 80;
+        this->query.answer_tokens = 20;
+        this->query.now = this->now;
     }
 
     void put(const std::string& id, layer_span held, const std::string& hall = "x",
@@ -40,7 +40,7 @@
     /// The path as "a:0-8 b:8-16"; "none" if there is none.
     std::string find()
     {
-        const auto path = find_layer_path(this->profile, this->directory, this->loads, this->question);
+        const auto path = find_layer_path(this->profile, this->directory, this->loads, this->query);
         if (!path) {
             return "none";
         }
@@ -72,7 +72,7 @@
     engine_profile profile = tests::make_sample_profile();
     upstream_directory directory{2s};
     engine_loads loads;
-    path_query question;
+    path_query query;
 };
 
 TEST_F(layer_path_test, hosts_that_know_the_same_old_figures_do_not_all_take_one_path)
@@ -82,7 +82,7 @@
     this->put("tail", {8, 16});
     this->loads.set_remote_usage({{upstream_id("b"), {200, 2}}}); // hardly more than nothing
     EXPECT_EQ(this->find(), "a:0-8 tail:8-16") << "without draws, the cheapest one";
-    this->question.random = make_seeded_random(1);
+    this->query.random = make_seeded_random(1);
     EXPECT_NEAR(this->count_of("b:0-8 tail:8-16", 1000), 500, 80);
     this->loads.set_remote_usage({{upstream_id("b"), {10'000, 2}}}); // of room for 20,000
     EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "what costs more is taken less often";
@@ -97,7 +97,7 @@
     this->put("here-tail", {8, 16});
     this->put("there", {0, 8}, "y");
     this->put("there-tail", {8, 16}, "y");
-    this->question.random = make_seeded_random(1);
+    this->query.random = make_seeded_random(1);
     EXPECT_GT(this->count_of("here:0-8 here-tail:8-16", 1000), 900);
     this->loads.set_remote_usage(
         {{upstream_id("here"), {15'000, 2}}, {upstream_id("here-tail"), {15'000, 2}}});
@@ -136,9 +136,9 @@
     EXPECT_EQ(this->find(), "b:0-16");
     this->loads.suspend(upstream_id("b"), this->now + 1s);
     EXPECT_EQ(this->find(), "none");
-    this->question.now += 1s;
+    this->query.now += 1s;
     EXPECT_EQ(this->find(), "b:0-16");
-    this->question.avoided.insert(upstream_id("b"));
+    this->query.avoided.insert(upstream_id("b"));
     EXPECT_EQ(this->find(), "none");
 }
 
@@ -162,7 +162,7 @@
     this->put("far-tail", {8, 16}, "y");
     this->put("other-head", {0, 8}, "z", "small");
     this->put("other-tail", {8, 16}, "z", "small");
-    this->question.pipe_utilization = [](const data_hall_id&, const data_hall_id&) { return 5.0; };
+    this->query.pipe_utilization = [](const data_hall_id&, const data_hall_id&) { return 5.0; };
     EXPECT_EQ(this->find(), "other-head:0-8 other-tail:8-16");
 }
 
@@ -221,7 +221,7 @@
     this->put("head", {0, 10});
     this->put("better", {0, 10});
     this->put("tail", {8, 16});
-    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 9}}};
+    this->query.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 9}}};
     EXPECT_EQ(this->find(), "head:0-9 tail:9-16");
 }
 
@@ -232,11 +232,11 @@
     this->put("same-middle", {4, 10});
     this->put("dead", {10, 16});
     this->put("tail", {10, 16});
-    this->question.prompt_tokens = 4000;
-    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
+    this->query.prompt_tokens = 4000;
+    this->query.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
         {upstream_id("same-middle"), endpoint("10.0.0.1:2"), {4, 10}},
         {upstream_id("dead"), endpoint("10.0.0.1:3"), {10, 16}}};
-    this->question.avoided = {upstream_id("dead")};
+    this->query.avoided = {upstream_id("dead")};
     EXPECT_EQ(this->find(), "head:0-4 same-middle:4-10 tail:10-16");
 }
 
@@ -247,11 +247,11 @@
     this->put("moved", {0, 2});
     this->put("tail", {10, 16});
     this->put("other", {4, 10}, "y");
-    this->question.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
+    this->query.current_path = {{upstream_id("head"), endpoint("10.0.0.1:0"), {0, 4}},
         {upstream_id("middle"), endpoint("10.0.0.1:1"), {4, 10}},
         {upstream_id("moved"), endpoint("10.0.0.1:2"), {10, 16}}};
     EXPECT_EQ(this->find(), "head:0-4 middle:4-10 tail:10-16");
-    this->question.current_path.clear();
+    this->query.current_path.clear();
     EXPECT_EQ(this->find(), "head:0-4 other:4-10 tail:10-16") << "nothing new goes to one that leaves";
 }
 
@@ -268,7 +268,7 @@
     this->put("a", {0, 8});
     this->put("b", {8, 16}, "y");
     this->loads.add(upstream_id("b"), 10'000);
-    const auto path = find_layer_path(this->profile, this->directory, this->loads, this->question);
+    const auto path = find_layer_path(this->profile, this->directory, this->loads, this->query);
     ASSERT_TRUE(path.has_value());
     EXPECT_EQ(count_crossings(this->directory, *path), 1U);
     EXPECT_NEAR(predict_peak_utilization(this->profile, this->directory, this->loads, *path, 100),
