--- a/tests/auto/directory/tst_upstreamdirectory.cpp
+++ b/tests/auto/directory/tst_upstreamdirectory.cpp
@@ -37,11 +37,11 @@
         return this->directory.find(upstream.id) != nullptr;
     }
 
-    std::vector<upstream_id> outlived;
-    upstream_directory directory{2s, [this](const upstream_id& id) { this->outlived.push_back(id); }};
+    std::vector<upstream_id> superseded;
+    upstream_directory directory{2s, [this](const upstream_id& id) { this->superseded.push_back(id); }};
 };
 
-TEST_F(upstream_directory_test, a_repeated_entry_is_no_change_and_a_new_state_is)
+TEST_F(upstream_directory_test, repeated_entry_is_no_change_but_new_state_is)
 {
     EXPECT_TRUE(this->directory.put(make_upstream("a"), start));
     EXPECT_FALSE(this->directory.put(make_upstream("a"), start + 1s));
@@ -51,14 +51,14 @@
     EXPECT_EQ(this->directory.find(upstream_id("a"))->since, start);
 }
 
-TEST_F(upstream_directory_test, an_entry_that_vanishes_from_a_sound_store_is_gone_at_once)
+TEST_F(upstream_directory_test, entry_vanished_from_healthy_store_is_removed_at_once)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.remove(upstream_id("a"), start + 1s);
     EXPECT_EQ(this->directory.find(upstream_id("a")), nullptr);
 }
 
-TEST_F(upstream_directory_test, an_entry_that_vanishes_from_a_disturbed_store_is_believed_for_a_while)
+TEST_F(upstream_directory_test, entry_vanished_from_disturbed_store_is_kept_for_grace_period)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.set_store_disturbed(start);
@@ -70,7 +70,7 @@
     EXPECT_EQ(this->directory.find(upstream_id("a")), nullptr);
 }
 
-TEST_F(upstream_directory_test, an_entry_that_comes_back_in_time_stays)
+TEST_F(upstream_directory_test, entry_that_returns_within_grace_period_stays)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.set_store_disturbed(start);
@@ -80,7 +80,7 @@
     EXPECT_NE(this->directory.find(upstream_id("a")), nullptr);
 }
 
-TEST_F(upstream_directory_test, a_whole_list_removes_what_it_lacks)
+TEST_F(upstream_directory_test, replacement_removes_entries_not_in_list)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.put(make_upstream("b", "127.0.0.1:2"), start);
@@ -89,7 +89,7 @@
     EXPECT_FALSE(this->directory.replace({make_upstream("b", "127.0.0.1:2")}, start + 2s));
 }
 
-TEST_F(upstream_directory_test, an_address_belongs_to_the_upstream_that_came_last)
+TEST_F(upstream_directory_test, address_belongs_to_latest_upstream)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.put(make_upstream("b"), start + 1s);
@@ -98,60 +98,61 @@
     EXPECT_EQ(this->directory.find_at(service_id("s"), endpoint("127.0.0.1:1"))->upstream.id.value(), "b");
 }
 
-TEST_F(upstream_directory_test, a_younger_start_ends_the_older_one_of_its_name)
+TEST_F(upstream_directory_test, newer_start_supersedes_older_one_of_same_name)
 {
-    const discovered_upstream old = make_start("a", 1000);
-    const discovered_upstream young = make_start("a", 2000);
-    this->directory.put(old, start);
-    EXPECT_TRUE(this->directory.put(young, start + 1s));
-    EXPECT_FALSE(this->has(old));
-    EXPECT_TRUE(this->has(young));
-    EXPECT_EQ(this->outlived, std::vector<upstream_id>{old.id});
-    EXPECT_FALSE(this->directory.put(old, start + 2s)) << "written late";
-    EXPECT_TRUE(this->has(young));
-    EXPECT_FALSE(this->has(old));
+    const discovered_upstream older = make_start("a", 1000);
+    const discovered_upstream newer = make_start("a", 2000);
+    this->directory.put(older, start);
+    EXPECT_TRUE(this->directory.put(newer, start + 1s));
+    EXPECT_FALSE(this->has(older));
+    EXPECT_TRUE(this->has(newer));
+    EXPECT_EQ(this->superseded, std::vector<upstream_id>{older.id});
+    EXPECT_FALSE(this->directory.put(older, start + 2s)) << "a late entry";
+    EXPECT_TRUE(this->has(newer));
+    EXPECT_FALSE(this->has(older));
 }
 
-TEST_F(upstream_directory_test, a_younger_start_ends_the_older_one_at_its_address_in_either_order)
+TEST_F(upstream_directory_test, newer_start_supersedes_older_one_at_same_address_in_either_order)
 {
-    const discovered_upstream old = make_start("a", 1000);
-    const discovered_upstream young = make_start("b", 2000);
-    this->directory.put(old, start);
-    this->directory.put(young, start + 1s);
-    EXPECT_FALSE(this->has(old));
-    EXPECT_FALSE(this->directory.put(old, start + 2s));
-    EXPECT_EQ(this->directory.find_at(old.service, old.address)->upstream.id, young.id);
+    const discovered_upstream older = make_start("a", 1000);
+    const discovered_upstream newer = make_start("b", 2000);
+    this->directory.put(older, start);
+    this->directory.put(newer, start + 1s);
+    EXPECT_FALSE(this->has(older));
+    EXPECT_FALSE(this->directory.put(older, start + 2s));
+    EXPECT_EQ(this->directory.find_at(older.service, older.address)->upstream.id, newer.id);
 
     upstream_directory other{2s};
-    EXPECT_TRUE(other.replace({young, old}, start));
+    EXPECT_TRUE(other.replace({newer, older}, start));
     EXPECT_EQ(other.entries().size(), 1U);
-    EXPECT_NE(other.find(young.id), nullptr);
+    EXPECT_NE(other.find(newer.id), nullptr);
 }
 
-TEST_F(upstream_directory_test, a_late_entry_of_an_older_start_names_nothing_after_the_younger_one_has_gone)
+TEST_F(upstream_directory_test, late_entry_of_older_start_is_ignored_after_newer_one_was_removed)
 {
-    const discovered_upstream old = make_start("a", 1000);
-    const discovered_upstream young = make_start("b", 2000);
-    this->directory.put(young, start);
-    this->directory.remove(young.id, start + 1s);
-    EXPECT_FALSE(this->directory.put(old, start + 2s));
+    const discovered_upstream older = make_start("a", 1000);
+    const discovered_upstream newer = make_start("b", 2000);
+    this->directory.put(newer, start);
+    this->directory.remove(newer.id, start + 1s);
+    EXPECT_FALSE(this->directory.put(older, start + 2s));
     EXPECT_TRUE(this->directory.entries().empty());
     this->directory.drop_lapsed(start + 120s);
-    EXPECT_TRUE(this->directory.put(make_start("c", 500), start + 120s)) << "nothing is kept for ever";
+    EXPECT_TRUE(this->directory.put(make_start("c", 500), start + 120s))
+        << "ended starts are removed after a time";
 }
 
-TEST_F(upstream_directory_test, a_start_in_whose_place_another_one_answered_has_ended)
+TEST_F(upstream_directory_test, start_replaced_at_its_address_is_removed)
 {
-    const discovered_upstream old = make_start("a", 1000);
-    this->directory.put(old, start);
-    this->directory.mark_superseded(old.id, start + 1s);
-    EXPECT_FALSE(this->has(old));
-    EXPECT_EQ(this->outlived, std::vector<upstream_id>{old.id});
-    EXPECT_FALSE(this->directory.put(old, start + 2s));
+    const discovered_upstream older = make_start("a", 1000);
+    this->directory.put(older, start);
+    this->directory.mark_superseded(older.id, start + 1s);
+    EXPECT_FALSE(this->has(older));
+    EXPECT_EQ(this->superseded, std::vector<upstream_id>{older.id});
+    EXPECT_FALSE(this->directory.put(older, start + 2s));
     EXPECT_TRUE(this->directory.put(make_start("a", 2000), start + 2s));
 }
 
-TEST_F(upstream_directory_test, of_starts_that_tell_no_moment_the_one_seen_later_is_the_younger)
+TEST_F(upstream_directory_test, of_starts_without_start_time_the_later_seen_is_newer)
 {
     this->directory.put(make_upstream("a"), start);
     EXPECT_TRUE(this->directory.put(make_upstream("b"), start + 1s));
@@ -162,7 +163,7 @@
     EXPECT_EQ(this->directory.entries().size(), 1U);
 }
 
-TEST_F(upstream_directory_test, a_late_entry_of_a_start_that_had_vanished_before_the_next_one_names_nothing)
+TEST_F(upstream_directory_test, late_entry_of_start_removed_before_its_successor_is_ignored)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.remove(upstream_id("a"), start + 1s);
@@ -171,20 +172,20 @@
     EXPECT_NE(this->directory.find(upstream_id("b")), nullptr);
 }
 
-TEST_F(upstream_directory_test, starts_that_are_first_seen_together_and_tell_no_moment_both_stay)
+TEST_F(upstream_directory_test, starts_without_start_time_seen_at_same_time_both_stay)
 {
     this->directory.replace({make_upstream("a"), make_upstream("b")}, start);
     EXPECT_EQ(this->directory.entries().size(), 2U);
 }
 
-TEST_F(upstream_directory_test, an_entry_that_vanishes_and_comes_back_alone_is_the_same_start)
+TEST_F(upstream_directory_test, entry_that_returns_without_successor_is_same_start)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.remove(upstream_id("a"), start + 1s);
     EXPECT_TRUE(this->directory.put(make_upstream("a"), start + 2s));
 }
 
-TEST_F(upstream_directory_test, an_entry_of_another_service_takes_no_address_away)
+TEST_F(upstream_directory_test, entry_of_other_service_does_not_claim_address)
 {
     this->directory.put(make_upstream("a"), start);
     discovered_upstream other = make_start("b", 2000);
@@ -193,15 +194,15 @@
     EXPECT_NE(this->directory.find(upstream_id("a")), nullptr);
 }
 
-TEST_F(upstream_directory_test, an_older_entry_of_a_name_in_a_list_takes_nothing_from_its_younger_start)
+TEST_F(upstream_directory_test, older_start_in_list_does_not_remove_newer_one)
 {
-    const discovered_upstream young = make_start("a", 2000);
-    this->directory.put(young, start);
+    const discovered_upstream newer = make_start("a", 2000);
+    this->directory.put(newer, start);
     EXPECT_FALSE(this->directory.replace({make_start("a", 1000)}, start + 1s));
-    EXPECT_TRUE(this->has(young));
+    EXPECT_TRUE(this->has(newer));
 }
 
-TEST_F(upstream_directory_test, an_upstream_that_moves_leaves_its_address)
+TEST_F(upstream_directory_test, moved_upstream_releases_old_address)
 {
     this->directory.put(make_upstream("a"), start);
     this->directory.put(make_upstream("a", "127.0.0.1:2"), start + 1s);
@@ -209,7 +210,7 @@
     EXPECT_NE(this->directory.find_at(service_id("s"), endpoint("127.0.0.1:2")), nullptr);
 }
 
-TEST(start_id, tells_starts_of_one_name_apart_and_keeps_the_name)
+TEST(start_id, ids_of_starts_differ_and_keep_name)
 {
     const upstream_id first = make_start_id("i-7f3a91c2", start_moment(1764722282000));
     const upstream_id second = make_start_id("i-7f3a91c2", start_moment(1764722282001));
@@ -221,7 +222,7 @@
     EXPECT_EQ(upstream_name(make_start_id("a@b", start_moment(7))), "a@b");
 }
 
-TEST(layer_span, counts_and_overlaps)
+TEST(layer_span, count_holds_and_overlaps)
 {
     const layer_span span{3, 7};
     EXPECT_EQ(span.count(), 4U);
--- a/tests/auto/routing/tst_accountindex.cpp
+++ b/tests/auto/routing/tst_accountindex.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-TEST(account_index, finds_accounts_by_their_keys_only)
+TEST(account_index, finds_account_by_key_and_none_for_unknown_keys)
 {
     const bundle content = tests::make_sample_bundle({.accounts = 20});
     const account_index index(content);
--- a/tests/auto/routing/tst_chainpolicy.cpp
+++ b/tests/auto/routing/tst_chainpolicy.cpp
@@ -25,7 +25,7 @@
     }
 };
 
-TEST_P(every_policy, chooses_chains_that_cover_each_layer_once)
+TEST_P(every_policy, chosen_chain_covers_each_layer_once)
 {
     for (int round = 0; round < 100; ++round) {
         const std::optional<chain> chosen = this->policy(this->routes, {time_point(), {}});
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_P(every_policy, avoids_what_failed_before_and_what_leaves)
+TEST_P(every_policy, avoids_failed_and_leaving_upstreams)
 {
     this->loads.load_of(holder(1, 2))->set_leaving(true);
     for (int round = 0; round < 100; ++round) {
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_P(every_policy, finds_nothing_when_a_stage_has_no_holder_left)
+TEST_P(every_policy, finds_no_chain_when_stage_has_no_usable_holder)
 {
     std::set<upstream_id> avoid;
     for (int number = 0; number < 4; ++number) {
@@ -56,7 +56,7 @@
     EXPECT_FALSE(this->policy(this->routes, {time_point(), avoid}));
 }
 
-TEST_P(every_policy, uses_no_upstream_that_asked_for_a_wait_even_where_all_of_a_stage_did)
+TEST_P(every_policy, finds_no_chain_until_retry_after_of_all_holders_ends)
 {
     for (int number = 0; number < 4; ++number) {
         this->loads.load_of(holder(1, number))->note_retry_after(time_point(), 3s);
@@ -65,7 +65,7 @@
     EXPECT_TRUE(this->policy(this->routes, {time_point() + 3s, {}}));
 }
 
-TEST_P(every_policy, uses_upstreams_with_open_breakers_rather_than_none)
+TEST_P(every_policy, uses_open_breakers_when_no_other_chain_exists)
 {
     for (int number = 0; number < 4; ++number) {
         for (int failure = 0; failure < 3; ++failure) {
@@ -78,7 +78,7 @@
 INSTANTIATE_TEST_SUITE_P(routing, every_policy,
     testing::Values(policy_kind::round_robin, policy_kind::least_in_flight, policy_kind::least_time));
 
-TEST(least_time, leaves_a_full_fast_holder_for_an_idle_slow_one)
+TEST(least_time, prefers_idle_slow_holder_to_full_fast_one)
 {
     const bundle content = tests::make_sample_bundle({.holders_of_a_stage = 2});
     load_table loads;
@@ -93,7 +93,7 @@
     EXPECT_EQ((*policy(routes, request))[0].holder, upstream_id("model-0/stage-0/holder-1"));
 }
 
-TEST(routing_table, hosts_draw_different_subsets_that_use_every_holder)
+TEST(routing_table, subsets_of_all_hosts_together_use_every_holder)
 {
     const bundle content = tests::make_sample_bundle({.stages = 1, .holders_of_a_stage = 64});
     std::map<upstream_id, int> uses;
@@ -109,7 +109,7 @@
     EXPECT_EQ(uses.size(), 64U);
 }
 
-TEST(service_options, the_less_busy_is_preferred_and_a_leaving_one_gets_nothing)
+TEST(service_options, leaving_upstream_is_never_chosen)
 {
     load_table loads;
     const std::vector<service_option> options{
--- a/tests/auto/routing/tst_layerpath.cpp
+++ b/tests/auto/routing/tst_layerpath.cpp
@@ -37,7 +37,7 @@
         this->directory.put(upstream, this->now);
     }
 
-    /// The path as "a:0-8 b:8-16"; "none" if there is none.
+    /// Returns the path as "a:0-8 b:8-16", or "none".
     std::string find()
     {
         const auto path = find_layer_path(this->profile, this->directory, this->loads, this->query);
@@ -47,18 +47,18 @@
         std::string text;
         unsigned next = 0;
         std::set<upstream_id> seen;
-        for (const path_stage& part : *path) {
-            EXPECT_EQ(part.span.begin, next) << "each layer once, in order";
-            EXPECT_TRUE(seen.insert(part.id).second) << "no upstream twice";
-            next = part.span.end;
-            text += (text.empty() ? "" : " ") + part.id.value() + ":" + std::to_string(part.span.begin) + "-"
-                + std::to_string(part.span.end);
+        for (const path_stage& stage : *path) {
+            EXPECT_EQ(stage.span.begin, next) << "each layer once, in order";
+            EXPECT_TRUE(seen.insert(stage.id).second) << "no upstream twice";
+            next = stage.span.end;
+            text += (text.empty() ? "" : " ") + stage.id.value() + ":" + std::to_string(stage.span.begin)
+                + "-" + std::to_string(stage.span.end);
         }
         EXPECT_EQ(next, this->profile.layers);
         return text;
     }
 
-    /// How often this path comes in so many searches.
+    /// Returns how many of `searches` searches find this path.
     int count_of(const std::string& path, int searches)
     {
         int count = 0;
@@ -75,23 +75,23 @@
     path_query query;
 };
 
-TEST_F(layer_path_test, hosts_that_know_the_same_old_figures_do_not_all_take_one_path)
+TEST_F(layer_path_test, random_factors_spread_hosts_with_same_stale_loads_over_paths)
 {
     this->put("a", {0, 8});
     this->put("b", {0, 8});
     this->put("tail", {8, 16});
-    this->loads.set_remote_usage({{upstream_id("b"), {200, 2}}}); // hardly more than nothing
-    EXPECT_EQ(this->find(), "a:0-8 tail:8-16") << "without draws, the cheapest one";
+    this->loads.set_remote_usage({{upstream_id("b"), {200, 2}}}); // slightly more than no load
+    EXPECT_EQ(this->find(), "a:0-8 tail:8-16") << "without random factors, the cheapest path";
     this->query.random = make_seeded_random(1);
     EXPECT_NEAR(this->count_of("b:0-8 tail:8-16", 1000), 500, 80);
-    this->loads.set_remote_usage({{upstream_id("b"), {10'000, 2}}}); // of room for 20,000
-    EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "what costs more is taken less often";
+    this->loads.set_remote_usage({{upstream_id("b"), {10'000, 2}}}); // of a capacity of 20,000
+    EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "a more expensive path is used less often";
     this->loads.set_remote_usage({{upstream_id("a"), {9'000, 2}}, {upstream_id("b"), {12'000, 2}}});
     EXPECT_LT(this->count_of("b:0-8 tail:8-16", 1000), 400);
-    EXPECT_GT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "though not never";
+    EXPECT_GT(this->count_of("b:0-8 tail:8-16", 1000), 100) << "but is still used";
 }
 
-TEST_F(layer_path_test, requests_enter_in_the_hall_of_their_host_unless_it_is_much_fuller)
+TEST_F(layer_path_test, head_is_in_hall_of_host_unless_much_more_loaded)
 {
     this->put("here", {0, 8});
     this->put("here-tail", {8, 16});
@@ -104,7 +104,7 @@
     EXPECT_GT(this->count_of("there:0-8 there-tail:8-16", 1000), 700);
 }
 
-TEST_F(layer_path_test, joins_ranges_that_overlap)
+TEST_F(layer_path_test, overlapping_ranges_form_path)
 {
     this->put("a", {0, 9});
     this->put("b", {7, 16});
@@ -112,14 +112,14 @@
     EXPECT_TRUE(path == "a:0-9 b:9-16" || path == "a:0-8 b:8-16" || path == "a:0-7 b:7-16") << path;
 }
 
-TEST_F(layer_path_test, there_is_none_while_a_layer_has_no_holder)
+TEST_F(layer_path_test, finds_no_path_while_layer_has_no_holder)
 {
     this->put("a", {0, 8});
     this->put("b", {9, 16});
     EXPECT_EQ(this->find(), "none");
 }
 
-TEST_F(layer_path_test, prefers_few_parts_and_fast_cards)
+TEST_F(layer_path_test, prefers_few_stages_and_fast_cards)
 {
     this->put("slow", {0, 8}, "x", "small");
     this->put("fast", {0, 8});
@@ -128,7 +128,7 @@
     EXPECT_EQ(this->find(), "fast:0-8 tail:8-16");
 }
 
-TEST_F(layer_path_test, leaving_suspended_and_avoided_upstreams_are_left_out)
+TEST_F(layer_path_test, excludes_leaving_suspended_and_avoided_upstreams)
 {
     this->put("a", {0, 16}, "x", "big", true);
     EXPECT_EQ(this->find(), "none");
@@ -142,7 +142,7 @@
     EXPECT_EQ(this->find(), "none");
 }
 
-TEST_F(layer_path_test, stays_in_a_hall_where_it_can)
+TEST_F(layer_path_test, prefers_path_within_one_hall)
 {
     this->put("near-head", {0, 8});
     this->put("far-tail", {8, 16}, "y");
@@ -153,10 +153,10 @@
     EXPECT_EQ(this->find(), "near-head:0-8 far-tail:8-16");
     this->put("far-head", {0, 8}, "y");
     EXPECT_EQ(this->find(), "far-head:0-8 far-tail:8-16")
-        << "one whole path in another hall before a crossing";
+        << "a whole path in another hall is preferred to a crossing";
 }
 
-TEST_F(layer_path_test, a_used_pipe_makes_another_way_cheaper)
+TEST_F(layer_path_test, avoids_crossing_of_utilized_pipe)
 {
     this->put("near-head", {0, 8});
     this->put("far-tail", {8, 16}, "y");
@@ -166,12 +166,12 @@
     EXPECT_EQ(this->find(), "other-head:0-8 other-tail:8-16");
 }
 
-TEST_F(layer_path_test, room_goes_before_speed)
+TEST_F(layer_path_test, free_capacity_outweighs_speed)
 {
     this->put("fast", {0, 8});
     this->put("slow", {0, 8}, "x", "small");
     this->put("tail", {8, 16});
-    // 8 layers on a big card leave 2,000 MB at 0.1 MB a token and layer.
+    // 8 layers on a big card leave 2,000 MB, at 0.1 MB per token and layer.
     EXPECT_EQ(token_layer_capacity(this->profile, this->profile.kinds.at("big"), 8), 20'000);
     this->loads.add(upstream_id("fast"), 19'000);
     this->put("slow", {0, 4}, "x", "small");
@@ -179,7 +179,7 @@
     EXPECT_EQ(this->find(), "slow:0-4 slow2:4-8 tail:8-16");
 }
 
-TEST_F(layer_path_test, a_head_whose_slots_are_taken_is_passed_by_though_it_has_room)
+TEST_F(layer_path_test, avoids_head_with_few_free_slots_despite_free_capacity)
 {
     this->profile.request_slots = 10;
     this->put("roomy", {0, 4});
@@ -193,7 +193,7 @@
     EXPECT_EQ(this->find(), "narrow:0-8 tail:8-16");
 }
 
-TEST_F(layer_path_test, the_work_of_other_hosts_counts)
+TEST_F(layer_path_test, load_of_other_hosts_counts)
 {
     this->put("a", {0, 8});
     this->put("b", {0, 8});
@@ -204,7 +204,7 @@
     EXPECT_EQ(this->find(), "a:0-8 tail:8-16");
 }
 
-TEST_F(layer_path_test, hosts_that_were_not_heard_yet_are_taken_to_do_as_much_as_this_one)
+TEST_F(layer_path_test, hosts_without_report_count_with_load_of_this_host)
 {
     this->put("a", {0, 8});
     this->put("b", {0, 8});
@@ -216,7 +216,7 @@
     EXPECT_EQ(this->find(), "b:0-8 tail:8-16");
 }
 
-TEST_F(layer_path_test, a_fixed_head_keeps_its_layers)
+TEST_F(layer_path_test, rerouted_request_keeps_layers_of_head)
 {
     this->put("head", {0, 10});
     this->put("better", {0, 10});
@@ -225,7 +225,7 @@
     EXPECT_EQ(this->find(), "head:0-9 tail:9-16");
 }
 
-TEST_F(layer_path_test, a_running_request_keeps_the_parts_that_know_its_prompt)
+TEST_F(layer_path_test, rerouted_request_keeps_stages_with_cached_prompt)
 {
     this->put("head", {0, 4});
     this->put("middle", {4, 10});
@@ -240,7 +240,7 @@
     EXPECT_EQ(this->find(), "head:0-4 same-middle:4-10 tail:10-16");
 }
 
-TEST_F(layer_path_test, a_running_request_keeps_parts_that_are_leaving_but_not_layers_given_up)
+TEST_F(layer_path_test, rerouted_request_keeps_leaving_stages_but_not_unloaded_layers)
 {
     this->put("head", {0, 4});
     this->put("middle", {4, 10}, "x", "big", true);
@@ -252,10 +252,10 @@
         {upstream_id("moved"), endpoint("10.0.0.1:2"), {10, 16}}};
     EXPECT_EQ(this->find(), "head:0-4 middle:4-10 tail:10-16");
     this->query.current_path.clear();
-    EXPECT_EQ(this->find(), "head:0-4 other:4-10 tail:10-16") << "nothing new goes to one that leaves";
+    EXPECT_EQ(this->find(), "head:0-4 other:4-10 tail:10-16") << "new requests do not use leaving upstreams";
 }
 
-TEST_F(layer_path_test, a_holder_that_would_come_twice_runs_what_lies_between)
+TEST_F(layer_path_test, holder_of_separate_layers_also_runs_those_between)
 {
     this->put("wide", {0, 16}, "x", "small");
     this->put("fast", {6, 10});
@@ -263,7 +263,7 @@
     EXPECT_TRUE(path == "wide:0-16" || path.find("fast") != std::string::npos) << path;
 }
 
-TEST_F(layer_path_test, tells_the_fullest_part_and_the_crossings)
+TEST_F(layer_path_test, predicts_peak_utilization_crossings_and_prompt_time)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16}, "y");
@@ -276,23 +276,23 @@
     EXPECT_EQ(predict_prompt_time(this->profile, this->directory, *path, 100'000), duration(1s));
 }
 
-TEST(engine_loads, suspicions_of_this_host_and_of_others_are_told_apart)
+TEST(engine_loads, own_and_reported_suspicions_are_separate)
 {
     const time_point now{100s};
     engine_loads loads;
     const upstream_id id("a");
     loads.suspend_on_report(id, now + 1s);
-    EXPECT_EQ(loads.of(id).failed_until, time_point{}) << "another host's word isn't passed on";
+    EXPECT_EQ(loads.of(id).failed_until, time_point{}) << "a reported suspicion is not reported further";
     EXPECT_TRUE(loads.of(id).has_failed(now));
     loads.suspend(id, now + 500ms);
     loads.suspend_on_report(id, now + 2s);
-    EXPECT_EQ(loads.of(id).failed_until, now + 500ms) << "own evidence stands beside a later word";
+    EXPECT_EQ(loads.of(id).failed_until, now + 500ms) << "the own suspicion is kept beside a later report";
     EXPECT_EQ(loads.of(id).reported_until, now + 2s);
     loads.resume(id);
     EXPECT_TRUE(loads.of(id).accepts_requests(now));
 }
 
-TEST(engine_loads, one_that_refuses_again_and_again_is_passed_by_for_longer_each_time)
+TEST(engine_loads, repeated_refusals_double_avoidance_up_to_limit)
 {
     const time_point now{100s};
     engine_loads loads;
@@ -301,14 +301,14 @@
         loads.note_unwilling(id, now, 1s, 6s);
         EXPECT_EQ(loads.of(id).unwilling_until, now + pause);
     }
-    EXPECT_FALSE(loads.of(id).has_failed(now)) << "it lives, and what it runs goes on";
+    EXPECT_FALSE(loads.of(id).has_failed(now)) << "an avoided upstream is not suspected";
     loads.resume(id);
     EXPECT_TRUE(loads.of(id).accepts_requests(now));
     loads.note_unwilling(id, now, 1s, 6s);
     EXPECT_EQ(loads.of(id).unwilling_until, now + 1s);
 }
 
-TEST(engine_loads, an_idle_upstream_holds_nothing)
+TEST(engine_loads, idle_upstream_has_no_load)
 {
     engine_loads loads;
     const upstream_id id("a");
@@ -323,7 +323,7 @@
     EXPECT_TRUE(loads.all().empty());
 }
 
-TEST(pipe_meter, use_fades_and_counts_for_all_hosts_and_both_directions)
+TEST(pipe_meter, utilization_decays_and_covers_all_hosts_and_both_directions)
 {
     const time_point now{100s};
     pipe_meter meter;
--- a/tests/auto/routing/tst_retryallowance.cpp
+++ b/tests/auto/routing/tst_retryallowance.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(retry_allowance, no_window_exceeds_what_the_fleet_may_repeat)
+TEST(retry_allowance, fleet_stays_within_allowance_in_every_window)
 {
     const std::size_t hosts = 3;
     const service_id service("s");
@@ -36,10 +36,10 @@
         }
         EXPECT_LE(static_cast<double>(repeats.size()), 0.2 * static_cast<double>(requests.size()) + 30);
     }
-    EXPECT_GT(repeats.size(), 100U) << "what is allowed is used";
+    EXPECT_GT(repeats.size(), 100U) << "the allowance is used";
 }
 
-TEST(retry_allowance, a_host_that_is_killed_and_started_again_spends_its_slack_once_in_a_window)
+TEST(retry_allowance, restarted_host_spends_slack_once_per_window)
 {
     const retry_allowance_settings settings{.ratio = 0, .slack = 20, .window = 10s};
     const service_id service("a");
@@ -53,14 +53,14 @@
     retry_allowance before(settings);
     before.set_sharing_hosts(2);
     spend_all(before, now);
-    EXPECT_EQ(repeats.size(), 8U) << "half of it, less what others may be wrong by";
+    EXPECT_EQ(repeats.size(), 8U) << "half of the slack, less the safety margin";
     for (int start = 0; start < 3; ++start) {
         now += 2s;
-        retry_allowance again(settings);
-        again.note_start(now);
-        again.set_sharing_hosts(2);
-        spend_all(again, now);
-        spend_all(again, now + 1s);
+        retry_allowance restarted(settings);
+        restarted.note_start(now);
+        restarted.set_sharing_hosts(2);
+        spend_all(restarted, now);
+        spend_all(restarted, now + 1s);
     }
     EXPECT_EQ(repeats.size(), 8U);
     retry_allowance later(settings);
@@ -70,7 +70,7 @@
     EXPECT_EQ(repeats.size(), 16U);
 }
 
-TEST(retry_allowance, each_service_has_its_own)
+TEST(retry_allowance, each_service_has_own_allowance)
 {
     retry_allowance allowance({.ratio = 0, .slack = 2.5, .window = 10s});
     const time_point now{100s};
--- a/tests/auto/routing/tst_upstreamload.cpp
+++ b/tests/auto/routing/tst_upstreamload.cpp
@@ -15,7 +15,7 @@
     return time_point(elapsed);
 }
 
-TEST(upstream_load, one_failure_does_not_open_the_breaker_and_three_in_a_row_do)
+TEST(upstream_load, three_consecutive_failures_open_breaker)
 {
     upstream_load load{breaker_settings{}};
     load.note_failure(at(0s));
@@ -29,7 +29,7 @@
     EXPECT_EQ(load.state(at(0s)), breaker_state::open);
 }
 
-TEST(upstream_load, a_half_open_breaker_lets_one_request_through_and_doubles_its_pause)
+TEST(upstream_load, half_open_breaker_admits_one_request_and_doubles_pause_on_failure)
 {
     upstream_load load{breaker_settings{}};
     for (int failure = 0; failure < 3; ++failure) {
@@ -47,7 +47,7 @@
     EXPECT_EQ(load.state(at(3s)), breaker_state::closed);
 }
 
-TEST(upstream_load, an_upstreams_own_wish_to_wait_is_honoured_at_once)
+TEST(upstream_load, retry_after_excludes_upstream_at_once)
 {
     upstream_load load{breaker_settings{}};
     load.note_retry_after(at(0s), 60s);
@@ -55,18 +55,18 @@
     EXPECT_TRUE(load.is_available(at(60s)));
 }
 
-TEST(upstream_load, nothing_but_time_ends_a_wait_that_the_upstream_asked_for)
+TEST(upstream_load, retry_after_ends_by_time_alone)
 {
     upstream_load load{breaker_settings{}};
     load.note_retry_after(at(0s), 60s);
     load.note_success(1ms);
-    EXPECT_FALSE(load.is_available(at(1s))) << "an answer to an earlier request says nothing of its wish";
+    EXPECT_FALSE(load.is_available(at(1s))) << "an answer to an earlier request does not end a Retry-After";
     load.note_retry_after(at(1s), 2s);
     EXPECT_FALSE(load.is_available(at(59s)));
     EXPECT_TRUE(load.is_available(at(60s)));
 }
 
-TEST(upstream_load, an_old_report_is_dropped)
+TEST(upstream_load, old_report_is_ignored)
 {
     upstream_load load{breaker_settings{}};
     load.note_report(at(0s), 9);
@@ -74,7 +74,7 @@
     EXPECT_EQ(load.expected_streams(at(5s)), 0U);
 }
 
-TEST(retry_budget, bounds_retries_to_a_share_of_first_attempts)
+TEST(retry_budget, limits_retries_to_ratio_of_first_attempts)
 {
     retry_budget budget(0.2);
     int retries = 0;
@@ -87,7 +87,7 @@
     EXPECT_GE(retries, 200);
 }
 
-TEST(retry_budget, lets_the_streams_of_one_upstream_move_and_not_those_of_a_whole_pool)
+TEST(retry_budget, allows_retries_for_one_dead_upstream_but_not_whole_pool)
 {
     retry_budget budget(0.2);
     constexpr int streams = 400;
--- a/tests/auto/routing/tst_upstreampauses.cpp
+++ b/tests/auto/routing/tst_upstreampauses.cpp
@@ -13,7 +13,7 @@
 const upstream_id second("second");
 constexpr time_point start{1000s};
 
-TEST(upstream_pauses_test, a_pause_lasts_as_long_as_was_asked)
+TEST(upstream_pauses_test, pause_lasts_for_requested_time)
 {
     upstream_pauses pauses;
     EXPECT_TRUE(pauses.is_empty());
@@ -26,7 +26,7 @@
     EXPECT_EQ(pauses.paused_count(start + 3s), 0U);
 }
 
-TEST(upstream_pauses_test, a_shorter_wish_ends_none_that_is_longer)
+TEST(upstream_pauses_test, shorter_pause_does_not_end_longer_one)
 {
     upstream_pauses pauses;
     pauses.note(first, 3s, start);
@@ -36,7 +36,7 @@
     EXPECT_EQ(pauses.end_of(first, start + 2s), start + 5s);
 }
 
-TEST(upstream_pauses_test, what_is_over_is_forgotten)
+TEST(upstream_pauses_test, expired_pauses_are_removed)
 {
     upstream_pauses pauses;
     pauses.note(first, 1s, start);
@@ -47,14 +47,14 @@
     EXPECT_TRUE(pauses.is_empty());
 }
 
-TEST(upstream_pauses_test, a_pause_beyond_all_bounds_counts_as_the_longest)
+TEST(upstream_pauses_test, excessive_pause_is_cut_to_longest)
 {
     upstream_pauses pauses({.longest_pause = 60s});
     pauses.note(first, duration::max(), start);
     EXPECT_EQ(pauses.end_of(first, start), start + 60s);
 }
 
-TEST(upstream_pauses_test, beyond_its_bound_the_pause_that_ends_first_makes_room)
+TEST(upstream_pauses_test, full_list_drops_pause_that_ends_first)
 {
     upstream_pauses pauses({.most_records = 2});
     pauses.note(upstream_id("short"), 1s, start);
