--- a/src/libs/routing/layerpath.cpp
+++ b/src/libs/routing/layerpath.cpp
@@ -80,44 +80,44 @@
 
 /// Predicts the prefill time of the prompt in one layer.
 double predict_prompt_ms(
-    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& query)
+    const engine_profile& profile, const card_kind& card, const engine_usage& usage, const path_query& query)
 {
     if (profile.prompt_tokens_per_s <= 0) {
         return 0;
     }
     const double whole_ms =
         query.prompt_tokens * milliseconds_per_second / profile.prompt_tokens_per_s * card.prompt_factor;
-    return whole_ms * use.pace / profile.layers;
+    return whole_ms * usage.pace / profile.layers;
 }
 
 /// Predicts the time of one decode step in one layer.
-double predict_step_ms(const engine_profile& profile, const card_kind& card, const engine_usage& use)
+double predict_step_ms(const engine_profile& profile, const card_kind& card, const engine_usage& usage)
 {
-    const double step_ms = profile.step_ms * card.step_factor + use.requests * profile.step_ms_per_request;
-    return step_ms * use.pace / profile.layers;
+    const double step_ms = profile.step_ms * card.step_factor + usage.requests * profile.step_ms_per_request;
+    return step_ms * usage.pace / profile.layers;
 }
 
 /// Predicts the time of all decode steps of the answer in one layer.
 double predict_steps_ms(
-    const engine_profile& profile, const card_kind& card, const engine_usage& use, const path_query& query)
+    const engine_profile& profile, const card_kind& card, const engine_usage& usage, const path_query& query)
 {
-    return query.answer_tokens * predict_step_ms(profile, card, use);
+    return query.answer_tokens * predict_step_ms(profile, card, usage);
 }
 
 /// Returns the capacity utilization of an upstream with `wanted` more tokens times layers; 1 if it has no
 /// capacity.
 double utilization_with(const engine_profile& profile, const card_kind& card,
-    const discovered_upstream& upstream, const engine_usage& use, double wanted)
+    const discovered_upstream& upstream, const engine_usage& usage, double wanted)
 {
     const double capacity = token_layer_capacity(profile, card, upstream.held.count());
-    return capacity <= 0 ? 1 : (use.token_layers + wanted) / capacity;
+    return capacity <= 0 ? 1 : (usage.token_layers + wanted) / capacity;
 }
 
 double capacity_cost(const engine_profile& profile, const card_kind& card,
-    const discovered_upstream& upstream, const engine_usage& use, const path_query& query)
+    const discovered_upstream& upstream, const engine_usage& usage, const path_query& query)
 {
     const double wanted = (query.prompt_tokens + query.answer_tokens) * upstream.held.count();
-    const double share = utilization_with(profile, card, upstream, use, wanted);
+    const double share = utilization_with(profile, card, upstream, usage, wanted);
     // A request that is being rerouted is short of time, and its tokens are part of the present load, so it
     // uses a full upstream rather than the pipe to another data hall.
     const bool avoids_full = query.current_path.empty() && share > preemption_utilization;
@@ -129,12 +129,12 @@
 /// that many slots a queue forms only when nearly all are taken, and slow upstreams hold theirs for longer,
 /// so the cost stays low until then. With the square of the share, requests were driven to slow paths: on
 /// five days of high load with 6 hosts, the credit earned was 0.04 lower than without this cost.
-double slot_cost(const engine_profile& profile, const engine_usage& use)
+double slot_cost(const engine_profile& profile, const engine_usage& usage)
 {
     if (profile.request_slots == 0) {
         return 0;
     }
-    const double share = (use.requests + 1) / profile.request_slots;
+    const double share = (usage.requests + 1) / profile.request_slots;
     return profile.layers * full_capacity_ms * std::pow(share, slot_cost_exponent);
 }
 
@@ -173,7 +173,8 @@
         std::size_t previous = 0; ///< index in the row of the previous layer
     };
 
-    void add_candidate(const discovered_upstream& upstream, const engine_load& load, const engine_usage& use)
+    void add_candidate(
+        const discovered_upstream& upstream, const engine_load& load, const engine_usage& usage)
     {
         if (upstream.service != this->query.service) {
             return;
@@ -191,13 +192,13 @@
         if (item.runs.is_empty()) {
             return;
         }
-        item.reused_layer_ms = predict_steps_ms(this->profile, *card, use, this->query);
+        item.reused_layer_ms = predict_steps_ms(this->profile, *card, usage, this->query);
         const double predicted_ms = item.reused_layer_ms
-            + predict_prompt_ms(this->profile, *card, use, this->query)
-            + capacity_cost(this->profile, *card, upstream, use, this->query);
+            + predict_prompt_ms(this->profile, *card, usage, this->query)
+            + capacity_cost(this->profile, *card, upstream, usage, this->query);
         const double draw = draw_cost_factor(this->query.random);
         item.layer_ms = predicted_ms * draw;
-        item.entry_ms = draw * slot_cost(this->profile, use);
+        item.entry_ms = draw * slot_cost(this->profile, usage);
         item.hall = this->find_hall(upstream.data_hall);
         this->candidates.push_back(item);
     }
--- a/src/libs/routing/pipemeter.h
+++ b/src/libs/routing/pipemeter.h
@@ -14,7 +14,7 @@
 {
 public:
     /// Time constant of the exponential decay of past traffic.
-    static constexpr duration memory = std::chrono::milliseconds(500);
+    static constexpr duration decay_time = std::chrono::milliseconds(500);
 
     /// Sets the number of live hosts, this one included.
     void set_live_hosts(std::size_t count) { this->live_hosts = count == 0 ? 1 : count; }
@@ -25,7 +25,7 @@
         const data_hall_id& from, const data_hall_id& to, double bits_per_second, time_point now) const;
 
 private:
-    struct use
+    struct traffic
     {
         double bits = 0;
         time_point at{};
@@ -34,9 +34,9 @@
 
     /// Returns the key of a pipe, the same for both directions, which share its rate.
     static hall_pair pair_of(const data_hall_id& from, const data_hall_id& to);
-    static double decayed(const use& item, time_point now);
+    static double decayed(const traffic& item, time_point now);
 
-    std::map<hall_pair, use> uses;
+    std::map<hall_pair, traffic> recent_traffic;
     std::size_t live_hosts = 1;
 };
 
--- a/src/libs/routing/retryallowance.cpp
+++ b/src/libs/routing/retryallowance.cpp
@@ -21,7 +21,7 @@
 {
     recent_sends& sends = this->services[service];
     forget_before(sends.requests, now - this->settings.window);
-    forget_before(sends.repeats, now - this->settings.window);
+    forget_before(sends.retries, now - this->settings.window);
     return sends;
 }
 
@@ -36,7 +36,7 @@
     const double earned = this->settings.ratio * static_cast<double>(sends.requests.size());
     const bool is_new = this->started && now - *this->started < this->settings.window;
     const double slack = is_new ? 0 : this->settings.slack / static_cast<double>(this->sharing_hosts);
-    return safety_factor * (earned + slack) - static_cast<double>(sends.repeats.size());
+    return safety_factor * (earned + slack) - static_cast<double>(sends.retries.size());
 }
 
 bool retry_allowance::take(const service_id& service, time_point now)
@@ -44,7 +44,7 @@
     if (this->left(service, now) < 1) {
         return false;
     }
-    this->recent(service, now).repeats.push_back(now);
+    this->recent(service, now).retries.push_back(now);
     return true;
 }
 
--- a/src/libs/routing/retryallowance.h
+++ b/src/libs/routing/retryallowance.h
@@ -48,7 +48,7 @@
     struct recent_sends
     {
         std::deque<time_point> requests;
-        std::deque<time_point> repeats;
+        std::deque<time_point> retries;
     };
 
     recent_sends& recent(const service_id& service, time_point now);
--- a/tests/auto/routing/tst_retryallowance.cpp
+++ b/tests/auto/routing/tst_retryallowance.cpp
@@ -19,41 +19,41 @@
         allowance.set_sharing_hosts(hosts);
     }
     std::deque<time_point> requests;
-    std::deque<time_point> repeats;
+    std::deque<time_point> retries;
     for (time_point now{100s}; now < time_point{160s}; now += 50ms) {
         for (retry_allowance& allowance : allowances) {
             allowance.note_request(service, now);
             requests.push_back(now);
             if (allowance.take(service, now)) {
-                repeats.push_back(now);
+                retries.push_back(now);
             }
         }
         while (requests.front() <= now - 10s) {
             requests.pop_front();
         }
-        while (!repeats.empty() && repeats.front() <= now - 10s) {
-            repeats.pop_front();
+        while (!retries.empty() && retries.front() <= now - 10s) {
+            retries.pop_front();
         }
-        EXPECT_LE(static_cast<double>(repeats.size()), 0.2 * static_cast<double>(requests.size()) + 30);
+        EXPECT_LE(static_cast<double>(retries.size()), 0.2 * static_cast<double>(requests.size()) + 30);
     }
-    EXPECT_GT(repeats.size(), 100U) << "the allowance is used";
+    EXPECT_GT(retries.size(), 100U) << "the allowance is used";
 }
 
 TEST(retry_allowance, restarted_host_spends_slack_once_per_window)
 {
     const retry_allowance_settings settings{.ratio = 0, .slack = 20, .window = 10s};
     const service_id service("a");
-    std::vector<time_point> repeats;
+    std::vector<time_point> retries;
     const auto spend_all = [&](retry_allowance& allowance, time_point now) {
         while (allowance.take(service, now)) {
-            repeats.push_back(now);
+            retries.push_back(now);
         }
     };
     time_point now{100s};
     retry_allowance before(settings);
     before.set_sharing_hosts(2);
     spend_all(before, now);
-    EXPECT_EQ(repeats.size(), 8U) << "half of the slack, less the safety margin";
+    EXPECT_EQ(retries.size(), 8U) << "half of the slack, less the safety margin";
     for (int start = 0; start < 3; ++start) {
         now += 2s;
         retry_allowance restarted(settings);
@@ -62,12 +62,12 @@
         spend_all(restarted, now);
         spend_all(restarted, now + 1s);
     }
-    EXPECT_EQ(repeats.size(), 8U);
+    EXPECT_EQ(retries.size(), 8U);
     retry_allowance later(settings);
     later.note_start(now);
     later.set_sharing_hosts(2);
     spend_all(later, now + 10s);
-    EXPECT_EQ(repeats.size(), 16U);
+    EXPECT_EQ(retries.size(), 16U);
 }
 
 TEST(retry_allowance, each_service_has_own_allowance)
