--- a/src/libs/directory/upstreamdirectory.cpp
+++ b/src/libs/directory/upstreamdirectory.cpp
@@ -7,15 +7,14 @@
 
 namespace {
 
-/// An entry that an ended start wrote comes seconds late at the most; the memory of a start that has ended is
-/// kept for far longer, and not for ever.
-constexpr duration ended_memory = std::chrono::seconds(60);
+/// Time for which ended starts are kept. Their late entries arrive within seconds; the limit bounds memory.
+constexpr duration ended_start_retention = std::chrono::seconds(60);
 
 } // namespace
 
 bool upstream_directory::put(const discovered_upstream& upstream, time_point now)
 {
-    if (this->is_outlived(upstream)) {
+    if (this->is_superseded(upstream)) {
         return false;
     }
     const auto known = this->items.find(upstream.id);
@@ -26,16 +25,16 @@
     const bool is_new = known == this->items.end();
     const bool is_moved = !is_new && known->second.upstream.address != upstream.address;
     if (is_moved) {
-        this->leave_place(known->second.upstream, now);
+        this->release_address(known->second.upstream, now);
     }
     const std::vector<upstream_id> ended =
-        is_new || is_moved ? this->take_place(upstream, now) : std::vector<upstream_id>();
+        is_new || is_moved ? this->claim_address(upstream, now) : std::vector<upstream_id>();
     directory_entry& entry = this->items[upstream.id];
     entry.since = is_new ? now : entry.since;
     entry.is_lapsed = false;
     entry.upstream = upstream;
     ++this->changes;
-    this->tell_outlived(ended);
+    this->notify_superseded(ended);
     return true;
 }
 
@@ -50,75 +49,76 @@
     return true;
 }
 
-bool upstream_directory::is_outlived(const discovered_upstream& upstream) const
+bool upstream_directory::is_superseded(const discovered_upstream& upstream) const
 {
-    const directory_entry* namesake = this->find_named(upstream_name(upstream.id));
-    if (namesake != nullptr && is_older_start(upstream.born, namesake->upstream.born)) {
+    const directory_entry* same_name = this->find_by_name(upstream_name(upstream.id));
+    if (same_name != nullptr && is_older_start(upstream.born, same_name->upstream.born)) {
         return true;
     }
-    const auto found = this->by_place.find({upstream.service, upstream.address});
-    if (found == this->by_place.end()) {
+    const auto found = this->by_address.find({upstream.service, upstream.address});
+    if (found == this->by_address.end()) {
         return false;
     }
-    const place_holder& holder = found->second;
-    return is_older_start(upstream.born, holder.born) || holder.ended.count(upstream.id) != 0;
+    const address_owner& owner = found->second;
+    return is_older_start(upstream.born, owner.born) || owner.superseded.count(upstream.id) != 0;
 }
 
-bool upstream_directory::is_younger(
-    const discovered_upstream& upstream, const place_holder& holder, time_point now)
+bool upstream_directory::is_newer_start(
+    const discovered_upstream& upstream, const address_owner& owner, time_point now)
 {
-    if (upstream.born && holder.born) {
-        return is_older_start(holder.born, upstream.born);
+    if (upstream.born && owner.born) {
+        return is_older_start(owner.born, upstream.born);
     }
-    return holder.since < now;
+    return owner.first_seen < now;
 }
 
-std::vector<upstream_id> upstream_directory::take_place(const discovered_upstream& upstream, time_point now)
+std::vector<upstream_id> upstream_directory::claim_address(
+    const discovered_upstream& upstream, time_point now)
 {
     std::vector<upstream_id> ended;
-    const directory_entry* namesake = this->find_named(upstream_name(upstream.id));
-    if (namesake != nullptr && namesake->upstream.id != upstream.id) {
-        ended.push_back(namesake->upstream.id);
-    }
-    const auto [found, is_free] = this->by_place.try_emplace({upstream.service, upstream.address});
-    place_holder& holder = found->second;
-    if (!is_free && holder.id != upstream.id && is_younger(upstream, holder, now)) {
-        holder.ended[holder.id] = now;
-        const bool is_listed = !holder.left;
-        if (is_listed && (namesake == nullptr || namesake->upstream.id != holder.id)) {
-            ended.push_back(holder.id);
+    const directory_entry* same_name = this->find_by_name(upstream_name(upstream.id));
+    if (same_name != nullptr && same_name->upstream.id != upstream.id) {
+        ended.push_back(same_name->upstream.id);
+    }
+    const auto [found, is_free] = this->by_address.try_emplace({upstream.service, upstream.address});
+    address_owner& owner = found->second;
+    if (!is_free && owner.id != upstream.id && is_newer_start(upstream, owner, now)) {
+        owner.superseded[owner.id] = now;
+        const bool is_listed = !owner.released_at;
+        if (is_listed && (same_name == nullptr || same_name->upstream.id != owner.id)) {
+            ended.push_back(owner.id);
         }
     }
     for (const upstream_id& id : ended) {
         this->drop(id, now);
     }
-    holder.id = upstream.id;
-    holder.born = upstream.born;
-    holder.since = now;
-    holder.left.reset();
+    owner.id = upstream.id;
+    owner.born = upstream.born;
+    owner.first_seen = now;
+    owner.released_at.reset();
     this->by_name[upstream_name(upstream.id)] = upstream.id;
     return ended;
 }
 
-void upstream_directory::tell_outlived(const std::vector<upstream_id>& ended) const
+void upstream_directory::notify_superseded(const std::vector<upstream_id>& ended) const
 {
     for (const upstream_id& id : ended) {
-        if (this->on_outlived) {
-            this->on_outlived(id);
+        if (this->on_superseded) {
+            this->on_superseded(id);
         }
     }
 }
 
-void upstream_directory::end(const upstream_id& id, time_point now)
+void upstream_directory::mark_superseded(const upstream_id& id, time_point now)
 {
     const auto found = this->items.find(id);
     if (found == this->items.end()) {
         return;
     }
-    const place at{found->second.upstream.service, found->second.upstream.address};
+    const service_address at{found->second.upstream.service, found->second.upstream.address};
     this->drop(id, now);
-    this->by_place[at].ended[id] = now;
-    this->tell_outlived({id});
+    this->by_address[at].superseded[id] = now;
+    this->notify_superseded({id});
 }
 
 bool upstream_directory::is_store_disturbed(time_point now) const
@@ -132,7 +132,7 @@
     if (found == this->items.end()) {
         return;
     }
-    this->leave_place(found->second.upstream, now);
+    this->release_address(found->second.upstream, now);
     const auto name = this->by_name.find(upstream_name(id));
     if (name != this->by_name.end() && name->second == id) {
         this->by_name.erase(name);
@@ -141,22 +141,22 @@
     ++this->changes;
 }
 
-void upstream_directory::leave_place(const discovered_upstream& upstream, time_point now)
+void upstream_directory::release_address(const discovered_upstream& upstream, time_point now)
 {
-    const auto holder = this->by_place.find({upstream.service, upstream.address});
-    if (holder != this->by_place.end() && holder->second.id == upstream.id) {
-        holder->second.left = now;
+    const auto owner = this->by_address.find({upstream.service, upstream.address});
+    if (owner != this->by_address.end() && owner->second.id == upstream.id) {
+        owner->second.released_at = now;
     }
 }
 
-void upstream_directory::forget_ended(time_point now)
+void upstream_directory::remove_expired_starts(time_point now)
 {
-    const auto is_long_ago = [now](time_point moment) { return now - moment >= ended_memory; };
-    for (auto& [at, holder] : this->by_place) {
-        std::erase_if(holder.ended, [&](const auto& item) { return is_long_ago(item.second); });
+    const auto is_expired = [now](time_point moment) { return now - moment >= ended_start_retention; };
+    for (auto& [at, owner] : this->by_address) {
+        std::erase_if(owner.superseded, [&](const auto& item) { return is_expired(item.second); });
     }
-    std::erase_if(
-        this->by_place, [&](const auto& item) { return item.second.left && is_long_ago(*item.second.left); });
+    std::erase_if(this->by_address,
+        [&](const auto& item) { return item.second.released_at && is_expired(*item.second.released_at); });
 }
 
 void upstream_directory::remove(const upstream_id& id, time_point now)
@@ -175,7 +175,7 @@
 bool upstream_directory::replace(const std::vector<discovered_upstream>& upstreams, time_point now)
 {
     const std::uint64_t before = this->changes;
-    // By name: an entry of an older start says nothing against the youngest one of that name.
+    // Compared by name, as the entry of an older start does not remove the newest one of that name.
     std::set<std::string> listed;
     for (const discovered_upstream& upstream : upstreams) {
         listed.insert(upstream_name(upstream.id));
@@ -195,20 +195,20 @@
 
 std::vector<upstream_id> upstream_directory::drop_lapsed(time_point now)
 {
-    this->forget_ended(now);
-    std::vector<upstream_id> over;
+    this->remove_expired_starts(now);
+    std::vector<upstream_id> expired;
     if (this->is_store_disturbed(now)) {
-        return over;
+        return expired;
     }
     for (const auto& [id, entry] : this->items) {
         if (entry.is_lapsed) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const upstream_id& id : over) {
+    for (const upstream_id& id : expired) {
         this->drop(id, now);
     }
-    return over;
+    return expired;
 }
 
 const directory_entry* upstream_directory::find(const upstream_id& id) const
@@ -217,7 +217,7 @@
     return found == this->items.end() ? nullptr : &found->second;
 }
 
-const directory_entry* upstream_directory::find_named(const std::string& name) const
+const directory_entry* upstream_directory::find_by_name(const std::string& name) const
 {
     const auto found = this->by_name.find(name);
     return found == this->by_name.end() ? nullptr : this->find(found->second);
@@ -225,8 +225,8 @@
 
 const directory_entry* upstream_directory::find_at(const service_id& service, const endpoint& address) const
 {
-    const auto found = this->by_place.find({service, address});
-    const bool is_there = found != this->by_place.end() && !found->second.left;
+    const auto found = this->by_address.find({service, address});
+    const bool is_there = found != this->by_address.end() && !found->second.released_at;
     return is_there ? this->find(found->second.id) : nullptr;
 }
 
--- a/src/libs/routing/layerpath.cpp
+++ b/src/libs/routing/layerpath.cpp
@@ -9,48 +9,50 @@
 
 namespace {
 
-/// The pipe between halls is shared by all, so that a crossing costs others as well; from trials.
+/// Weight of a hop between data halls. The pipe is shared, so a crossing also delays other requests.
 constexpr double crossing_weight = 100;
-/// A request that enters in another hall than its host's moves each event through the pipe, but no prompt
-/// from engine to engine: a fifth of a crossing's weight. It keeps the hosts of one hall from all taking the
-/// cheapest path of another; with a weight of one, 36 in 100 requests of a deployment of three halls entered
-/// in their own.
+/// Weight of a path whose head is in another data hall than the host. Each event moves through the pipe, but
+/// no prompt is sent from engine to engine, hence a fifth of the weight of a crossing. It keeps the hosts of
+/// one hall from all using the cheapest path of another; with a weight of one, 36 in 100 requests of a
+/// deployment of three halls entered in their own.
 constexpr double entry_weight = 20;
-/// How strongly the square of a pipe's use raises the price of a crossing: half used, it is eleven times
-/// dearer.
-constexpr double used_pipe_weight = 40;
-/// Cost in milliseconds for each layer of an upstream whose room is used up; it grows with the square of the
-/// share in use. A stream's length matters less than that nothing is preempted, so this goes before speed.
-constexpr double used_room_ms = 80;
-/// Beyond this share of the room, an upstream would preempt requests, so it is taken only where nothing else
-/// holds the layer.
-constexpr double full_share = 0.85;
-constexpr double full_ms = 20'000;
-/// How steeply the price of a slot grows with the share that is taken: a tenth of that of used-up room at
-/// three quarters.
-constexpr double slot_price_power = 8;
-/// Engines refuse longer paths.
-constexpr std::size_t most_path_parts = 32;
+/// Weight of the squared utilization of a pipe in the cost of a crossing: at a utilization of one half, the
+/// cost is eleven times that of an idle pipe.
+constexpr double pipe_utilization_weight = 40;
+/// Cost of each layer of an upstream without free capacity, in milliseconds. The cost grows with the square
+/// of the utilization. Avoiding preemption matters more than the duration of a stream, so this outweighs
+/// speed.
+constexpr double full_capacity_ms = 80;
+/// Beyond this capacity utilization an upstream preempts requests, so it is used only if no other one holds
+/// the layer.
+constexpr double preemption_utilization = 0.85;
+constexpr double preemption_cost_ms = 20'000;
+/// Exponent of the share of used request slots in the cost of a slot: at three quarters, the cost is a tenth
+/// of that of an upstream without free capacity.
+constexpr double slot_cost_exponent = 8;
+/// Engines reject longer paths.
+constexpr std::size_t max_path_stages = 32;
 constexpr double milliseconds_per_second = 1000;
 
-/// An upstream that may run some layers, with its predicted cost.
+/// An upstream that can run some layers, with its predicted costs in milliseconds.
 struct candidate
 {
     const discovered_upstream* upstream = nullptr;
-    std::size_t hall = 0; ///< its number in the search
-    layer_span runs; ///< layers that it may run
-    layer_span kept; ///< of these, what it runs already for the request that is led elsewhere
-    double layer_ms = 0; ///< one layer for the whole request
-    double kept_layer_ms = 0; ///< one layer that it runs already
-    double slot_ms = 0; ///< to begin there
+    std::size_t hall = 0; ///< index in `path_search::halls`
+    layer_span runs; ///< layers that it can run
+    layer_span kept; ///< of these, the layers that it already runs for a request to be rerouted
+    double layer_ms = 0; ///< of one layer for the whole request
+    double reused_layer_ms = 0; ///< of one layer in `kept`, whose prompt cache is reused
+    double entry_ms = 0; ///< of a request slot, paid by the head
 };
 
-/// A factor for the cost of one upstream. Hosts hear of each other's work only every second or two, and of
-/// stale figures the cheapest path is worse than a drawn one, as all hosts take it until they hear of it (M.
-/// Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11, 2000). Of two upstreams, one that costs half
-/// as much is drawn four times in five. With 59 hosts, all took one path for a second or more; drawn,
-/// requests that had their first event in time on a day without faults rose from 88.9 to 99.9 in 100.
-double draw_factor(const random_function& random)
+/// Returns a random factor for the cost of one upstream. Hosts exchange load reports only every second or
+/// two. With stale loads, random choices are better than the cheapest path, which all hosts would use until
+/// the next reports (M. Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11, 2000). Of two upstreams,
+/// one that costs half as much is chosen four times in five. With 59 hosts and no random factor, all used one
+/// path for a second or more; the factor raised the share of requests with their first event in time, on a
+/// day without faults, from 88.9 to 99.9 in 100.
+double draw_cost_factor(const random_function& random)
 {
     if (!random) {
         return 1;
@@ -58,95 +60,96 @@
     constexpr unsigned fraction_bits = 53;
     const double share = (static_cast<double>(random() >> (64U - fraction_bits)) + 0.5)
         / static_cast<double>(std::uint64_t{1} << fraction_bits);
-    // The least of such draws is the more likely the less the square of its cost.
+    // With this distribution, the probability to be the cheapest is inverse to the square of the cost.
     return std::sqrt(-std::log(share));
 }
 
-/// What all hosts' requests take of an upstream.
-struct upstream_use
+/// Usage of an upstream by the requests of all hosts, with its slowdown.
+struct engine_usage
 {
     double token_layers = 0;
     double requests = 0;
     double pace = 1;
 };
 
-upstream_use use_of(const part_loads& loads, const upstream_id& id)
+engine_usage usage_of(const engine_loads& loads, const upstream_id& id)
 {
-    const part_load& load = loads.of(id);
-    return {loads.all_token_layers(load), loads.all_requests(load), load.pace};
+    const engine_load& load = loads.of(id);
+    return {loads.total_token_layers(load), loads.total_requests(load), load.pace};
 }
 
-/// Time to read the prompt through one layer.
-double predict_prompt_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use,
-    const path_question& question)
+/// Predicts the prefill time of the prompt in one layer.
+double predict_prompt_ms(
+    const engine_profile& profile, const card_kind& card, const engine_usage& usage, const path_query& query)
 {
     if (profile.prompt_tokens_per_s <= 0) {
         return 0;
     }
     const double whole_ms =
-        question.prompt_tokens * milliseconds_per_second / profile.prompt_tokens_per_s * card.prompt_factor;
-    return whole_ms * use.pace / profile.layers;
+        query.prompt_tokens * milliseconds_per_second / profile.prompt_tokens_per_s * card.prompt_factor;
+    return whole_ms * usage.pace / profile.layers;
 }
 
-/// Time of one token's step in one layer.
-double predict_step_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use)
+/// Predicts the time of one decode step in one layer.
+double predict_step_ms(const engine_profile& profile, const card_kind& card, const engine_usage& usage)
 {
-    const double step_ms = profile.step_ms * card.step_factor + use.requests * profile.step_ms_per_request;
-    return step_ms * use.pace / profile.layers;
+    const double step_ms = profile.step_ms * card.step_factor + usage.requests * profile.step_ms_per_request;
+    return step_ms * usage.pace / profile.layers;
 }
 
-/// Time of the answer's steps in one layer.
-double predict_steps_ms(const engine_profile& profile, const card_kind& card, const upstream_use& use,
-    const path_question& question)
+/// Predicts the time of all decode steps of the answer in one layer.
+double predict_steps_ms(
+    const engine_profile& profile, const card_kind& card, const engine_usage& usage, const path_query& query)
 {
-    return question.answer_tokens * predict_step_ms(profile, card, use);
+    return query.answer_tokens * predict_step_ms(profile, card, usage);
 }
 
-/// The share of an upstream's room that is used once it holds `wanted` more.
-double share_in_use(const engine_profile& profile, const card_kind& card, const discovered_upstream& upstream,
-    const upstream_use& use, double wanted)
+/// Returns the capacity utilization of an upstream with `wanted` more tokens times layers; 1 if it has no
+/// capacity.
+double utilization_with(const engine_profile& profile, const card_kind& card,
+    const discovered_upstream& upstream, const engine_usage& usage, double wanted)
 {
-    const double room = token_layer_room(profile, card, upstream.held.count());
-    return room <= 0 ? 1 : (use.token_layers + wanted) / room;
+    const double capacity = token_layer_capacity(profile, card, upstream.held.count());
+    return capacity <= 0 ? 1 : (usage.token_layers + wanted) / capacity;
 }
 
-double price_room(const engine_profile& profile, const card_kind& card, const discovered_upstream& upstream,
-    const upstream_use& use, const path_question& question)
+double capacity_cost(const engine_profile& profile, const card_kind& card,
+    const discovered_upstream& upstream, const engine_usage& usage, const path_query& query)
 {
-    const double wanted = (question.prompt_tokens + question.answer_tokens) * upstream.held.count();
-    const double share = share_in_use(profile, card, upstream, use, wanted);
-    // A running request that is led elsewhere is short of time; its tokens were there before, so it rather
-    // squeezes in than goes through the pipe to another hall.
-    const bool avoids_full = question.present.empty() && share > full_share;
-    return used_room_ms * share * share + (avoids_full ? full_ms * share : 0);
+    const double wanted = (query.prompt_tokens + query.answer_tokens) * upstream.held.count();
+    const double share = utilization_with(profile, card, upstream, usage, wanted);
+    // A request that is being rerouted is short of time, and its tokens are part of the present load, so it
+    // uses a full upstream rather than the pipe to another data hall.
+    const bool avoids_full = query.current_path.empty() && share > preemption_utilization;
+    return full_capacity_ms * share * share + (avoids_full ? preemption_cost_ms * share : 0);
 }
 
-/// Price of beginning at an upstream: the first of a path holds a slot for the whole of a request. By room
-/// alone, upstreams with much memory were taken until their 192 slots were used up, at 26 in 100 of all
-/// sends. A queue for that many forms only when nearly all are taken, and slow upstreams hold theirs for
-/// longer, so the price stays low until then: with the square of the share, requests were driven to slow
-/// paths (credit earned before 6 hosts on five days of high load 0.04 lower than without a price).
-double price_slot(const engine_profile& profile, const upstream_use& use)
+/// Returns the cost of a request slot at the head, which holds it for the whole request. By capacity alone,
+/// upstreams with much memory were used until their 192 slots were taken, at 26 in 100 of all sends. With
+/// that many slots a queue forms only when nearly all are taken, and slow upstreams hold theirs for longer,
+/// so the cost stays low until then. With the square of the share, requests were driven to slow paths: on
+/// five days of high load with 6 hosts, the credit earned was 0.04 lower than without this cost.
+double slot_cost(const engine_profile& profile, const engine_usage& usage)
 {
     if (profile.request_slots == 0) {
         return 0;
     }
-    const double share = (use.requests + 1) / profile.request_slots;
-    return profile.layers * used_room_ms * std::pow(share, slot_price_power);
+    const double share = (usage.requests + 1) / profile.request_slots;
+    return profile.layers * full_capacity_ms * std::pow(share, slot_cost_exponent);
 }
 
 class path_search
 {
 public:
-    path_search(const engine_profile& profile, const upstream_directory& directory, const part_loads& loads,
-        const path_question& question)
+    path_search(const engine_profile& profile, const upstream_directory& directory, const engine_loads& loads,
+        const path_query& query)
         : profile(profile)
-        , question(question)
+        , query(query)
     {
         for (const auto& [id, entry] : directory.entries()) {
-            this->add_candidate(entry.upstream, loads.of(id), use_of(loads, id));
+            this->add_candidate(entry.upstream, loads.of(id), usage_of(loads, id));
         }
-        this->price_hops();
+        this->compute_hop_costs();
     }
 
     std::optional<layer_path> run()
@@ -162,17 +165,18 @@
     }
 
 private:
-    /// The cheapest way to have run all layers up to this one, with this candidate running the last.
+    /// End of the cheapest path over all layers up to this one, with this candidate running the last.
     struct step
     {
         std::size_t candidate = 0;
         double cost = 0;
-        std::size_t previous = 0; ///< index in the layer before
+        std::size_t previous = 0; ///< index in the row of the previous layer
     };
 
-    void add_candidate(const discovered_upstream& upstream, const part_load& load, const upstream_use& use)
+    void add_candidate(
+        const discovered_upstream& upstream, const engine_load& load, const engine_usage& usage)
     {
-        if (upstream.service != this->question.service) {
+        if (upstream.service != this->query.service) {
             return;
         }
         const card_kind* card = this->profile.find_card(upstream.card, upstream.held.end);
@@ -181,25 +185,25 @@
         }
         candidate item;
         item.upstream = &upstream;
-        item.kept = this->find_kept(upstream, load);
-        const bool takes_work = !upstream.is_leaving && load.takes_work(this->question.now)
-            && this->question.avoided.count(upstream.id) == 0;
-        item.runs = takes_work && upstream.held.contains(item.kept) ? upstream.held : item.kept;
+        item.kept = this->find_reusable_span(upstream, load);
+        const bool accepts_requests = !upstream.is_leaving && load.accepts_requests(this->query.now)
+            && this->query.avoided.count(upstream.id) == 0;
+        item.runs = accepts_requests && upstream.held.contains(item.kept) ? upstream.held : item.kept;
         if (item.runs.is_empty()) {
             return;
         }
-        item.kept_layer_ms = predict_steps_ms(this->profile, *card, use, this->question);
-        const double predicted_ms = item.kept_layer_ms
-            + predict_prompt_ms(this->profile, *card, use, this->question)
-            + price_room(this->profile, *card, upstream, use, this->question);
-        const double draw = draw_factor(this->question.random);
+        item.reused_layer_ms = predict_steps_ms(this->profile, *card, usage, this->query);
+        const double predicted_ms = item.reused_layer_ms
+            + predict_prompt_ms(this->profile, *card, usage, this->query)
+            + capacity_cost(this->profile, *card, upstream, usage, this->query);
+        const double draw = draw_cost_factor(this->query.random);
         item.layer_ms = predicted_ms * draw;
-        item.slot_ms = draw * price_slot(this->profile, use);
+        item.entry_ms = draw * slot_cost(this->profile, usage);
         item.hall = this->find_hall(upstream.data_hall);
         this->candidates.push_back(item);
     }
 
-    /// The number of a hall in this search.
+    /// Returns the index of a data hall, adding it if it is new.
     std::size_t find_hall(const data_hall_id& hall)
     {
         const auto found = std::find(this->halls.begin(), this->halls.end(), hall);
@@ -210,8 +214,9 @@
         return static_cast<std::size_t>(found - this->halls.begin());
     }
 
-    /// Prices each way between two halls once; the search compares them for every layer and pair of holders.
-    void price_hops()
+    /// Computes the costs between each two data halls once, as the search reads them for every layer and pair
+    /// of holders.
+    void compute_hop_costs()
     {
         for (const data_hall_id& from : this->halls) {
             std::vector<double>& row = this->hop_costs.emplace_back();
@@ -223,46 +228,47 @@
 
     [[nodiscard]] bool is_head(const upstream_id& id) const
     {
-        return !this->question.present.empty() && this->question.present.front().id == id;
+        return !this->query.current_path.empty() && this->query.current_path.front().id == id;
     }
 
-    /// What the upstream may go on to run for the request that is led elsewhere.
-    [[nodiscard]] layer_span find_kept(const discovered_upstream& upstream, const part_load& load) const
+    /// Returns the layers that the upstream can continue to run for a request to be rerouted.
+    [[nodiscard]] layer_span find_reusable_span(
+        const discovered_upstream& upstream, const engine_load& load) const
     {
-        for (const path_part& part : this->question.present) {
-            if (part.id != upstream.id) {
+        for (const path_stage& stage : this->query.current_path) {
+            if (stage.id != upstream.id) {
                 continue;
             }
-            const bool is_sound = !load.has_failed(this->question.now)
-                && this->question.avoided.count(upstream.id) == 0 && upstream.held.contains(part.span);
-            return is_sound || this->is_head(part.id) ? part.span : layer_span();
+            const bool is_usable = !load.has_failed(this->query.now)
+                && this->query.avoided.count(upstream.id) == 0 && upstream.held.contains(stage.span);
+            return is_usable || this->is_head(stage.id) ? stage.span : layer_span();
         }
         return {};
     }
 
     [[nodiscard]] double hop_cost(const data_hall_id& from, const data_hall_id& to) const
     {
-        const double tokens = this->question.answer_tokens;
+        const double tokens = this->query.answer_tokens;
         if (from == to) {
             return tokens * engine_hop_ms;
         }
-        const double bits = this->profile.crossing_bits(this->question.prompt_tokens);
+        const double bits = this->profile.crossing_bits(this->query.prompt_tokens);
         const double transfer_ms = this->profile.hall_pipe_mbps <= 0
             ? 0
             : bits / (this->profile.hall_pipe_mbps * milliseconds_per_second);
-        const double share = this->question.pipe_share ? this->question.pipe_share(from, to) : 0;
+        const double share = this->query.pipe_utilization ? this->query.pipe_utilization(from, to) : 0;
         return crossing_weight * (transfer_ms + tokens * engine_hop_ms)
-            * (1 + used_pipe_weight * share * share);
+            * (1 + pipe_utilization_weight * share * share);
     }
 
     [[nodiscard]] bool may_run(const candidate& item, unsigned layer) const
     {
-        if (this->question.present.empty()) {
-            const bool leads = layer == 0 && this->question.may_lead;
-            return item.runs.holds(layer) && (!leads || this->question.may_lead(item.upstream->id));
+        if (this->query.current_path.empty()) {
+            const bool leads = layer == 0 && this->query.may_be_head;
+            return item.runs.holds(layer) && (!leads || this->query.may_be_head(item.upstream->id));
         }
-        // The head keeps its layers for the running request, also those that it has given up since.
-        const layer_span& first = this->question.present.front().span;
+        // The head keeps its layers for the running request, including those unloaded since.
+        const layer_span& first = this->query.current_path.front().span;
         return this->is_head(item.upstream->id) ? first.holds(layer)
                                                 : item.runs.holds(layer) && !first.holds(layer);
     }
@@ -276,12 +282,13 @@
             }
             step best = layer == 0 ? step{index, this->entry_cost(item), 0}
                                    : this->find_cheapest_step(table[layer - 1], index);
-            best.cost += item.kept.holds(layer) ? item.kept_layer_ms : item.layer_ms;
+            best.cost += item.kept.holds(layer) ? item.reused_layer_ms : item.layer_ms;
             table[layer].push_back(best);
         }
     }
 
-    /// The cheapest way to this candidate from the steps of the layer before, without the layer itself.
+    /// Returns the cheapest step to this candidate from the row of the previous layer, without the cost of
+    /// the layer itself.
     [[nodiscard]] step find_cheapest_step(const std::vector<step>& before, std::size_t index) const
     {
         const std::size_t hall = this->candidates[index].hall;
@@ -301,10 +308,10 @@
     [[nodiscard]] double entry_cost(const candidate& item) const
     {
         if (this->is_head(item.upstream->id)) {
-            return 0; // the running request stays there
+            return 0; // the running request keeps its slot
         }
-        const bool is_here = item.upstream->data_hall == this->question.origin;
-        return item.slot_ms + (is_here ? 0 : entry_weight * this->question.answer_tokens * engine_hop_ms);
+        const bool is_here = item.upstream->data_hall == this->query.origin;
+        return item.entry_ms + (is_here ? 0 : entry_weight * this->query.answer_tokens * engine_hop_ms);
     }
 
     [[nodiscard]] layer_path trace(const std::vector<std::vector<step>>& table) const
@@ -321,8 +328,8 @@
         return this->join(holders);
     }
 
-    /// Joins layers of one holder to parts. A holder that comes twice runs what lies between as well, which
-    /// it holds, since an upstream may stand in a path only once.
+    /// Merges the layers of each holder into stages. As an upstream may occur in a path only once, a holder
+    /// that occurs twice also runs the layers between, which it holds.
     [[nodiscard]] layer_path join(const std::vector<std::size_t>& holders) const
     {
         layer_path path;
@@ -340,18 +347,18 @@
     }
 
     const engine_profile& profile;
-    const path_question& question;
+    const path_query& query;
     std::vector<candidate> candidates;
-    std::vector<data_hall_id> halls; ///< of the candidates
-    std::vector<std::vector<double>> hop_costs; ///< in milliseconds, from hall to hall
+    std::vector<data_hall_id> halls; ///< data halls of the candidates
+    std::vector<std::vector<double>> hop_costs; ///< in milliseconds, by the indices of the data halls
 };
 
 } // namespace
 
-double token_layer_room(const engine_profile& profile, const card_kind& card, unsigned layers)
+double token_layer_capacity(const engine_profile& profile, const card_kind& card, unsigned layers)
 {
-    const double left_mb = card.memory_mb - layers * profile.layer_mb;
-    return profile.token_layer_mb() <= 0 ? 0 : std::max(0.0, left_mb / profile.token_layer_mb());
+    const double free_mb = card.memory_mb - layers * profile.layer_mb;
+    return profile.token_layer_mb() <= 0 ? 0 : std::max(0.0, free_mb / profile.token_layer_mb());
 }
 
 duration predict_prompt_time(const engine_profile& profile, const upstream_directory& directory,
@@ -360,25 +367,25 @@
     if (profile.prompt_tokens_per_s <= 0 || profile.layers == 0) {
         return duration::zero();
     }
-    double layers = 0; // weighed by how slowly each card reads
-    for (const path_part& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    double layers = 0; // weighted by the prompt factor of each card
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
-        layers += part.span.count() * (card == nullptr ? 1 : card->prompt_factor);
+        layers += stage.span.count() * (card == nullptr ? 1 : card->prompt_factor);
     }
     const double seconds = prompt_tokens / profile.prompt_tokens_per_s * layers / profile.layers;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
 }
 
 duration predict_token_time(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const layer_path& path)
+    const engine_loads& loads, const layer_path& path)
 {
     double sum_ms = 0;
-    for (const path_part& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
-            sum_ms += part.span.count() * predict_step_ms(profile, *card, use_of(loads, part.id));
+            sum_ms += stage.span.count() * predict_step_ms(profile, *card, usage_of(loads, stage.id));
         }
         sum_ms += engine_hop_ms;
     }
@@ -389,8 +396,8 @@
     const std::function<void(const data_hall_id& from, const data_hall_id& to)>& visit)
 {
     const data_hall_id* last = nullptr;
-    for (const path_part& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         if (entry == nullptr) {
             continue;
         }
@@ -409,37 +416,37 @@
     return count;
 }
 
-double predict_fullest_share(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const layer_path& path, double tokens)
+double predict_peak_utilization(const engine_profile& profile, const upstream_directory& directory,
+    const engine_loads& loads, const layer_path& path, double tokens)
 {
     double fullest = 0;
-    for (const path_part& part : path) {
-        const directory_entry* entry = directory.find(part.id);
+    for (const path_stage& stage : path) {
+        const directory_entry* entry = directory.find(stage.id);
         const card_kind* card = entry == nullptr ? nullptr : profile.find_card(entry->upstream.card);
         if (card != nullptr) {
             fullest = std::max(fullest,
-                share_in_use(
-                    profile, *card, entry->upstream, use_of(loads, part.id), tokens * part.span.count()));
+                utilization_with(
+                    profile, *card, entry->upstream, usage_of(loads, stage.id), tokens * stage.span.count()));
         }
     }
     return fullest;
 }
 
-double used_share_of(
-    const engine_profile& profile, const part_loads& loads, const discovered_upstream& upstream)
+double token_utilization_of(
+    const engine_profile& profile, const engine_loads& loads, const discovered_upstream& upstream)
 {
     const card_kind* card = profile.find_card(upstream.card);
-    return card == nullptr ? 1 : share_in_use(profile, *card, upstream, use_of(loads, upstream.id), 0);
+    return card == nullptr ? 1 : utilization_with(profile, *card, upstream, usage_of(loads, upstream.id), 0);
 }
 
 std::optional<layer_path> find_layer_path(const engine_profile& profile, const upstream_directory& directory,
-    const part_loads& loads, const path_question& question)
+    const engine_loads& loads, const path_query& query)
 {
     if (profile.layers == 0) {
         return std::nullopt;
     }
-    std::optional<layer_path> path = path_search(profile, directory, loads, question).run();
-    return path && path->size() <= most_path_parts ? path : std::nullopt;
+    std::optional<layer_path> path = path_search(profile, directory, loads, query).run();
+    return path && path->size() <= max_path_stages ? path : std::nullopt;
 }
 
 } // namespace sailtiller
--- a/src/libs/routing/routingtable.cpp
+++ b/src/libs/routing/routingtable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps the `holders_per_stage` holders with the highest rendezvous score for this host.
+/// Reduces `holders` to the `holders_per_stage` ones with the highest rendezvous score for this host.
 void keep_subset(std::vector<const stage_holder*>& holders, const host_id& self)
 {
     if (holders.size() <= holders_per_stage) {
@@ -70,9 +70,9 @@
 
 const std::vector<service_option>& routing_table::options_of(const service_id& name) const
 {
-    static const std::vector<service_option> none;
+    static const std::vector<service_option> no_options;
     const auto found = this->services.find(name);
-    return found == this->services.end() ? none : found->second;
+    return found == this->services.end() ? no_options : found->second;
 }
 
 std::size_t routing_table::stage_count() const
--- a/src/libs/routing/upstreamload.cpp
+++ b/src/libs/routing/upstreamload.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// A report older than this says nothing about the present queue.
+/// Older reports say nothing about the current load.
 constexpr duration report_lifetime = std::chrono::seconds(5);
-/// Weight of the newest answer in the smoothed time: 1 / 8, as in TCP's round-trip estimate (RFC 6298).
+/// The newest answer has a weight of 1 / 8 in the smoothed time, as in TCP's round-trip estimate (RFC 6298).
 constexpr std::int64_t smoothing_divisor = 8;
-/// A pause doubles at most this often, so that the shift below stays small.
-constexpr std::uint32_t most_doublings = 16;
+/// Bounds the shift that doubles the pause.
+constexpr std::uint32_t max_doublings = 16;
 
 } // namespace
 
@@ -35,8 +35,8 @@
 
 void upstream_load::note_success(duration time)
 {
-    this->failures_in_a_row = 0;
-    this->pauses_in_a_row = 0;
+    this->consecutive_failures = 0;
+    this->consecutive_pauses = 0;
     this->is_tripped = false;
     if (this->smoothed_time) {
         *this->smoothed_time += (time - *this->smoothed_time) / smoothing_divisor;
@@ -47,23 +47,24 @@
 
 void upstream_load::note_failure(time_point now)
 {
-    ++this->failures_in_a_row;
+    ++this->consecutive_failures;
     const bool was_probe = this->state(now) == breaker_state::half_open;
-    if (!was_probe && this->failures_in_a_row < this->settings.failures_to_open) {
+    if (!was_probe && this->consecutive_failures < this->settings.failures_to_open) {
         return;
     }
-    const std::uint32_t doublings = std::min(this->pauses_in_a_row, most_doublings);
+    const std::uint32_t doublings = std::min(this->consecutive_pauses, max_doublings);
     const duration pause = this->settings.first_pause * (std::int64_t{1} << doublings);
     this->is_tripped = true;
     this->pause_end = std::max(this->pause_end, now + std::min(pause, this->settings.longest_pause));
-    ++this->pauses_in_a_row;
+    ++this->consecutive_pauses;
 }
 
-void upstream_load::note_asked_to_wait(time_point now, duration wait)
+void upstream_load::note_retry_after(time_point now, duration wait)
 {
-    this->wait_end = std::max(this->wait_end, now + std::min(wait, this->settings.longest_asked_pause));
+    this->retry_after_end =
+        std::max(this->retry_after_end, now + std::min(wait, this->settings.max_retry_after));
     this->is_tripped = true;
-    this->pause_end = std::max(this->pause_end, this->wait_end);
+    this->pause_end = std::max(this->pause_end, this->retry_after_end);
 }
 
 void upstream_load::note_report(time_point now, std::uint32_t streams_running)
@@ -82,7 +83,7 @@
 
 bool upstream_load::is_available(time_point now) const
 {
-    if (this->wants_no_work(now)) {
+    if (this->is_excluded(now)) {
         return false;
     }
     switch (this->state(now)) {
