--- a/bench/bench_detection.cpp
+++ b/bench/bench_detection.cpp
@@ -2,7 +2,7 @@
 // How soon hosts find a dead engine, and what false alarms cost: the real stall watch of each host over
 // streams that give events at the pace of their engines, under a clock of its own. Prints a table over tokens
 // an event, hosts, and loops that run steadily or stand still for a part of each tenth of a second.
-#include <health/stallwatch.h>
+#include <health/stalldetector.h>
 
 #include <base/random.h>
 
@@ -55,21 +55,21 @@
 private:
     struct stream
     {
-        stall_watch::stream_key key = 0;
+        stall_detector::stream_key key = 0;
         unsigned copy = 0;
         std::size_t left = 0;
         time_point next{};
         bool is_lost = false;
     };
 
-    stall_watch_hooks make_hooks();
+    stall_detector_hooks make_hooks();
     void begin(stream& item, time_point now);
     [[nodiscard]] bool stands_still(time_point now) const;
 
     world& around;
     std::size_t number;
     timer_queue timers;
-    std::unique_ptr<stall_watch> watch;
+    std::unique_ptr<stall_detector> watch;
     std::vector<stream> streams;
 };
 
@@ -108,12 +108,12 @@
     }
 
     /// Probes that the dead engine never answered may be judged a moment after it is back.
-    void note_verdict(const upstream_id& id, std::size_t teller)
+    void note_verdict(const upstream_id& id, std::size_t reporter)
     {
         const bool was_dead = this->last_dead == id && this->now - this->came_back < milliseconds(200);
         if (this->dead_copy && id == engine(*this->dead_copy, 1)) {
             const std::chrono::duration<double, std::milli> taken = this->now - this->died;
-            if (this->told.insert(teller).second) {
+            if (this->told.insert(reporter).second) {
                 this->counted.verdict_ms.push_back(taken.count());
             }
         } else if (!was_dead) {
@@ -160,7 +160,7 @@
 host::host(world& around, std::size_t number)
     : around(around)
     , number(number)
-    , watch(std::make_unique<stall_watch>(stall_watch_settings{}, this->make_hooks()))
+    , watch(std::make_unique<stall_detector>(stall_detector_settings{}, this->make_hooks()))
     , streams(streams_of_host)
 {
     this->watch->prober().set_live_hosts(around.given.hosts);
@@ -170,9 +170,9 @@
     this->watch->start();
 }
 
-stall_watch_hooks host::make_hooks()
+stall_detector_hooks host::make_hooks()
 {
-    stall_watch_hooks hooks;
+    stall_detector_hooks hooks;
     hooks.timers = make_timer_hooks(this->timers, [this] { return this->around.now; });
     hooks.probe = [this](const upstream_id& id, const std::function<void(std::optional<double>)>& on_answer) {
         ++this->around.counted.probes;
@@ -182,7 +182,7 @@
         }
     };
     hooks.find_other = [](const upstream_id&) { return world::engine(copies, 0); };
-    hooks.is_watcher = [this](const upstream_id&) { return this->number < 2; };
+    hooks.is_assigned_prober = [this](const upstream_id&) { return this->number < 2; };
     hooks.on_dead = [this](const std::vector<upstream_id>& ids) {
         for (const upstream_id& id : ids) {
             this->around.note_verdict(id, this->number);
--- a/src/app/sailtillerd/sitehost.cpp
+++ b/src/app/sailtillerd/sitehost.cpp
@@ -375,9 +375,9 @@
     return {{.topic = store_topic::upstreams, .pause = look_pause}, std::move(hooks)};
 }
 
-layer_keeper_hooks site_host::make_keeper_hooks()
+placement_controller_hooks site_host::make_keeper_hooks()
 {
-    layer_keeper_hooks hooks;
+    placement_controller_hooks hooks;
     hooks.timers = this->loop.hooks();
     hooks.send = [this](const layer_order& order, const std::function<void(order_result)>& on_result) {
         this->link.send_order(order, on_result);
@@ -414,15 +414,16 @@
     const std::shared_ptr<const site_bundle>& bundle = this->gateway.current_bundle();
     const upstream_pool* pool = bundle ? bundle->engine_pool() : nullptr;
     if (pool != nullptr) {
-        this->keeper.look(*pool->engine, pool->name);
+        this->keeper.reconcile(*pool->engine, pool->name);
     }
     if (this->knowledge.are_entries_old()) {
         // No entry will show what became of the orders.
-        for (const upstream_id& id : this->keeper.engines_ordered()) {
+        for (const upstream_id& id : this->keeper.engines_with_pending_orders()) {
             this->health.ask(id);
         }
     }
-    this->loop.schedule_after(layer_keeper_settings().look_interval, [this] { this->look_at_layers(); });
+    this->loop.schedule_after(
+        placement_controller_settings().look_interval, [this] { this->look_at_layers(); });
 }
 
 bool site_host::is_ready() const
--- a/src/app/sailtillerd/sitehost.h
+++ b/src/app/sailtillerd/sitehost.h
@@ -13,7 +13,7 @@
 #include "upstreamlink.h"
 
 #include <gateway/gatewayservice.h>
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 #include <runtime/httpclient.h>
 #include <runtime/signalwatch.h>
 #include <site/bundleexchange.h>
@@ -40,7 +40,7 @@
     delivery_context make_delivery_context();
     upstream_health_hooks make_health_hooks();
     keyed_follower_hooks make_follower_hooks(store_topic topic);
-    layer_keeper_hooks make_keeper_hooks();
+    placement_controller_hooks make_keeper_hooks();
     [[nodiscard]] site_knowledge_settings make_knowledge_settings() const;
     site_knowledge_hooks make_knowledge_hooks();
     /// What callers may send: by the bundle, within the settings.
@@ -93,7 +93,7 @@
     delivery_context context;
     gateway_service gateway;
     site_duties duties;
-    layer_keeper keeper;
+    placement_controller keeper;
     keyed_follower bundle_follower;
     keyed_follower upstream_follower;
     site_admin admin;
--- a/src/app/sailtillerd/upstreamhealth.cpp
+++ b/src/app/sailtillerd/upstreamhealth.cpp
@@ -59,7 +59,7 @@
     this->live_hosts = std::move(hosts);
 }
 
-bool upstream_health::is_watcher(const upstream_id& id) const
+bool upstream_health::is_assigned_prober(const upstream_id& id) const
 {
     return this->live_hosts.empty()
         || is_among_owners(id.value(), this->live_hosts, this->self, watcher_count);
@@ -96,33 +96,33 @@
     }
     for (const upstream_sign& sign : report.signs) {
         this->told.clear(sign.id);
-        this->watch.prober().note_told_alive(sign.id, sign.pace, now - sign.age);
+        this->watch.prober().note_reported_alive(sign.id, sign.pace, now - sign.age);
     }
 }
 
-void upstream_health::take_suspicion(const upstream_suspicion& item, const host_id& teller)
+void upstream_health::take_suspicion(const upstream_suspicion& item, const host_id& reporter)
 {
     // Streams that move over it say that only the other host can't reach it.
-    if (this->watch.is_moving(item.id)) {
+    if (this->watch.is_progressing(item.id)) {
         return;
     }
     const time_point now = this->loop.now();
-    if (const std::optional<time_point> until = this->told.note(item.id, teller, now + item.left, now)) {
+    if (const std::optional<time_point> until = this->told.note(item.id, reporter, now + item.left, now)) {
         this->loads.suspend_on_word(item.id, *until);
-        this->watch.prober().note_told_dead(item.id);
+        this->watch.prober().note_reported_dead(item.id);
     }
 }
 
-stall_watch_hooks upstream_health::make_watch_hooks()
+stall_detector_hooks upstream_health::make_watch_hooks()
 {
-    stall_watch_hooks watch_hooks;
+    stall_detector_hooks watch_hooks;
     watch_hooks.timers = this->loop.hooks();
     watch_hooks.probe = [this](const upstream_id& id,
                             const std::function<void(std::optional<double>)>& on_answer) {
         this->probe(id, on_answer);
     };
     watch_hooks.find_other = [this](const upstream_id& id) { return this->find_other(id); };
-    watch_hooks.is_watcher = [this](const upstream_id& id) { return this->is_watcher(id); };
+    watch_hooks.is_assigned_prober = [this](const upstream_id& id) { return this->is_assigned_prober(id); };
     watch_hooks.on_dead = [this](const std::vector<upstream_id>& ids) { this->take_deaths(ids); };
     watch_hooks.on_alive = [this](const upstream_id& id, double pace) { this->take_pace(id, pace); };
     return watch_hooks;
@@ -159,7 +159,7 @@
     }
     this->link.probe({id, entry->upstream.address}, this->watch.prober().answer_limit() / 2,
         [this, id, born = entry->upstream.born, on_answer](const std::optional<engine_report>& report) {
-            if (report && (report->is_of_other || is_older_start(born, report->born))) {
+            if (report && (report->is_other_upstream || is_older_start(born, report->born))) {
                 // Whoever answers there knows nothing of what the one that was asked for held.
                 on_answer(std::nullopt);
                 this->hooks.on_replaced(id);
--- a/src/app/sailtillerd/upstreamhealth.h
+++ b/src/app/sailtillerd/upstreamhealth.h
@@ -6,8 +6,8 @@
 #include <base/eventtype.h>
 #include <directory/upstreamdirectory.h>
 #include <fleet/peerreport.h>
-#include <health/stallwatch.h>
-#include <health/tolddeaths.h>
+#include <health/reporteddeaths.h>
+#include <health/stalldetector.h>
 #include <routing/partloads.h>
 
 namespace sailtiller {
@@ -41,7 +41,7 @@
     /// Begins to look at the streams; goes on by itself.
     void start();
     /// The watch over this host's streams.
-    [[nodiscard]] stall_watch& stream_watch() { return this->watch; }
+    [[nodiscard]] stall_detector& stream_watch() { return this->watch; }
     /// Asks an engine for its report, whatever its streams do.
     void ask(const upstream_id& id);
     /// An upstream has ended, as a younger start stands in its place: its streams leave it now, rather than
@@ -57,14 +57,14 @@
     void take_report(const peer_report& report);
 
 private:
-    stall_watch_hooks make_watch_hooks();
+    stall_detector_hooks make_watch_hooks();
     void probe(const upstream_id& id, const std::function<void(std::optional<double> pace)>& on_answer);
     /// An engine's own report came.
     void note_answer(const upstream_id& id, const engine_report& report);
     /// Some upstream other than this one that is believed to be alive.
     [[nodiscard]] std::optional<upstream_id> find_other(const upstream_id& id) const;
-    [[nodiscard]] bool is_watcher(const upstream_id& id) const;
-    void take_suspicion(const upstream_suspicion& item, const host_id& teller);
+    [[nodiscard]] bool is_assigned_prober(const upstream_id& id) const;
+    void take_suspicion(const upstream_suspicion& item, const host_id& reporter);
     /// These engines gave no sign of life.
     void take_deaths(const std::vector<upstream_id>& ids);
     void note_death(const upstream_id& id);
@@ -78,8 +78,8 @@
     host_id self;
     duration death_suspension;
     upstream_health_hooks hooks;
-    stall_watch watch;
-    told_deaths told;
+    stall_detector watch;
+    reported_deaths told;
     /// An upstream's last answer to a probe of this host.
     struct answered_probe
     {
--- a/src/libs/delivery/deliverycontext.h
+++ b/src/libs/delivery/deliverycontext.h
@@ -11,7 +11,7 @@
 #include <delivery/streamend.h>
 #include <fleet/crashsuspects.h>
 #include <fleet/limitholder.h>
-#include <health/stallwatch.h>
+#include <health/stalldetector.h>
 #include <routing/layerpath.h>
 #include <routing/pipemeter.h>
 #include <routing/retryallowance.h>
@@ -123,7 +123,7 @@
         send;
     /// Asks an engine to lead a running request over another path.
     std::function<void(const path_change&, std::function<void(const path_change_answer&)>)> change_path;
-    stall_watch& watch;
+    stall_detector& watch;
     const upstream_directory& directory;
     part_loads& loads;
     retry_allowance& retries;
--- a/src/libs/delivery/pathuse.h
+++ b/src/libs/delivery/pathuse.h
@@ -49,7 +49,7 @@
     delivery_context& context;
     const path_chooser& chooser;
     layer_path path;
-    std::optional<stall_watch::stream_key> watch_key;
+    std::optional<stall_detector::stream_key> watch_key;
 };
 
 /// The stops of a path, as they go over the wire.
--- a/src/libs/health/tolddeaths.cpp
+++ b/src/libs/health/reporteddeaths.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <health/tolddeaths.h>
+#include <health/reporteddeaths.h>
 
 #include <algorithm>
 #include <vector>
@@ -9,22 +9,22 @@
 namespace {
 
 /// With fewer hosts, one alone may be all that is left to tell.
-constexpr std::size_t hosts_for_two_words = 4;
+constexpr std::size_t min_hosts_for_two_reports = 4;
 
 } // namespace
 
-std::size_t told_deaths::tellers_needed() const
+std::size_t reported_deaths::reports_needed() const
 {
-    return this->live_hosts >= hosts_for_two_words ? 2 : 1;
+    return this->live_hosts >= min_hosts_for_two_reports ? 2 : 1;
 }
 
-std::optional<time_point> told_deaths::note(
-    const upstream_id& id, const host_id& teller, time_point until, time_point now)
+std::optional<time_point> reported_deaths::note(
+    const upstream_id& id, const host_id& reporter, time_point until, time_point now)
 {
     std::map<host_id, time_point>& tellers = this->words[id];
     std::erase_if(tellers, [now](const auto& item) { return item.second <= now; });
-    tellers[teller] = until;
-    const std::size_t needed = this->tellers_needed();
+    tellers[reporter] = until;
+    const std::size_t needed = this->reports_needed();
     if (tellers.size() < needed) {
         return std::nullopt;
     }
@@ -37,7 +37,7 @@
     return ends[needed - 1];
 }
 
-void told_deaths::forget(const std::function<bool(const upstream_id&)>& is_known)
+void reported_deaths::forget(const std::function<bool(const upstream_id&)>& is_known)
 {
     std::erase_if(this->words, [&is_known](const auto& item) { return !is_known(item.first); });
 }
--- a/src/libs/health/runningestimate.h
+++ b/src/libs/health/runningestimate.h
@@ -6,7 +6,7 @@
 namespace sailtiller {
 
 /// Mean deviations beyond which what is waited for counts as missing, as RFC 6298 has it for retransmissions.
-constexpr double missing_deviations = 4;
+constexpr double timeout_deviations = 4;
 
 /// Running mean and mean deviation of a quantity, with the weights that RFC 6298 gives round trips: a new
 /// sample counts an eighth in the mean and a quarter in the deviation.
--- a/src/libs/health/silencemodel.cpp
+++ b/src/libs/health/silencemodel.cpp
@@ -38,7 +38,7 @@
     return route_pause > duration::zero() ? route_pause : unpromised_pause;
 }
 
-duration silence_model::most_silence(const stream_expectation& expected, double mean_gap)
+duration silence_model::max_silence(const stream_expectation& expected, double mean_gap)
 {
     const duration pause = promised_pause(expected.longest_pause);
     return std::clamp(to_duration(slow_gap_factor * mean_gap), pause / 2, pause);
@@ -48,7 +48,7 @@
 {
     if (!this->gap_ratio.has_value()) {
         // Nothing was seen yet: the longest silence is waited for.
-        const auto most = static_cast<double>(most_silence(expected, 0).count());
+        const auto most = static_cast<double>(max_silence(expected, 0).count());
         return {most / 2, most / 4};
     }
     const double token = token_us(expected);
@@ -64,7 +64,7 @@
 {
     const duration objective = first_objective(expected);
     const duration excess = this->first_excess.has_value()
-        ? to_duration(std::max(0.0, this->first_excess.bound(missing_deviations)))
+        ? to_duration(std::max(0.0, this->first_excess.bound(timeout_deviations)))
         : objective / 4;
     // A long prompt is waited for; beyond that, half of the objective is left for another path.
     return std::min(expected.reading + excess, std::max(objective / 2, 2 * expected.reading));
--- a/src/libs/health/silencemodel.h
+++ b/src/libs/health/silencemodel.h
@@ -39,7 +39,7 @@
     /// nearly as slowly as that (their mean gap in microseconds), half of a usual gap more is waited for, or
     /// each second gap would be a suspect: 3.6 probes a request at 8 tokens an event and 7 hosts
     /// (bench_detection).
-    [[nodiscard]] static duration most_silence(const stream_expectation& expected, double mean_gap);
+    [[nodiscard]] static duration max_silence(const stream_expectation& expected, double mean_gap);
 
 private:
     running_estimate gap_ratio; ///< gap between events against the predicted time of a token
--- a/src/libs/health/stallwatch.cpp
+++ b/src/libs/health/stalldetector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <health/stallwatch.h>
+#include <health/stalldetector.h>
 
 #include <algorithm>
 
@@ -25,38 +25,41 @@
 
 } // namespace
 
-stall_watch::stall_watch(stall_watch_settings settings, stall_watch_hooks given)
+stall_detector::stall_detector(stall_detector_settings settings, stall_detector_hooks given)
     : settings(settings)
     , hooks(std::move(given))
     , probes(settings.probes, this->make_probe_hooks())
 {
 }
 
-upstream_probe_hooks stall_watch::make_probe_hooks()
+upstream_probe_hooks stall_detector::make_probe_hooks()
 {
     upstream_probe_hooks item;
     item.timers = this->hooks.timers;
     item.send = this->hooks.probe;
     item.find_other = this->hooks.find_other;
-    item.has_moved = [this](const upstream_id& id, time_point since) { return this->has_moved(id, since); };
-    item.has_other_moved = [this](const upstream_id& id, time_point since) {
+    item.has_progressed = [this](const upstream_id& id, time_point since) {
+        return this->has_progressed(id, since);
+    };
+    item.has_other_progressed = [this](const upstream_id& id, time_point since) {
         return std::any_of(this->streams.begin(), this->streams.end(), [&id, since](const auto& stream) {
             return stream.second.last_event >= since && !passes(stream.second, id);
         });
     };
-    item.is_watcher = this->hooks.is_watcher;
+    item.is_assigned_prober = this->hooks.is_assigned_prober;
     item.on_dead = this->hooks.on_dead;
     item.on_alive = this->hooks.on_alive;
     return item;
 }
 
-void stall_watch::start()
+void stall_detector::start()
 {
-    this->last_look = this->hooks.timers.now();
+    this->last_check = this->hooks.timers.now();
     this->hooks.timers.schedule_after(this->settings.look_interval, [this] { this->look(); });
 }
 
-stall_watch::stream_key stall_watch::add(std::vector<upstream_id> parts, const stream_expectation& expected)
+stall_detector::stream_key stall_detector::add(
+    std::vector<upstream_id> parts, const stream_expectation& expected)
 {
     const time_point now = this->hooks.timers.now();
     ++this->last_key;
@@ -70,12 +73,12 @@
     return this->last_key;
 }
 
-void stall_watch::expect_next_event(watched_stream& stream, time_point now) const
+void stall_detector::expect_next_event(watched_stream& stream, time_point now) const
 {
     const double mean = stream.gap.mean();
-    const duration most = silence_model::most_silence(stream.expected, mean);
-    const duration least = std::min(most, this->settings.least_silent_looks * this->settings.look_interval);
-    const double spread = std::max(stream.gap.deviation(), mean * this->settings.least_spread);
+    const duration most = silence_model::max_silence(stream.expected, mean);
+    const duration least = std::min(most, this->settings.min_silent_checks * this->settings.look_interval);
+    const double spread = std::max(stream.gap.deviation(), mean * this->settings.min_deviation_share);
     const auto silence = [&](double deviations) {
         return std::clamp(duration(static_cast<duration::rep>(mean + deviations * spread)), least, most);
     };
@@ -83,7 +86,7 @@
     stream.joint_due = now + silence(this->settings.joint_deviations);
 }
 
-void stall_watch::note_progress(stream_key key)
+void stall_detector::note_progress(stream_key key)
 {
     const auto found = this->streams.find(key);
     if (found == this->streams.end()) {
@@ -93,17 +96,17 @@
     const time_point now = this->hooks.timers.now();
     if (!has_begun(stream)) {
         this->model.note_first_event(stream.expected, now - stream.since);
-    } else if (stream.is_gap_usual) {
+    } else if (stream.is_next_gap_regular) {
         stream.gap.note(static_cast<double>((now - stream.last_event).count()));
         this->model.note_gap(stream.expected, now - stream.last_event);
     }
-    stream.is_gap_usual = true;
+    stream.is_next_gap_regular = true;
     stream.since = now;
     stream.last_event = now;
     this->expect_next_event(stream, now);
 }
 
-void stall_watch::change_path(
+void stall_detector::change_path(
     stream_key key, std::vector<upstream_id> parts, const stream_expectation& expected)
 {
     const auto found = this->streams.find(key);
@@ -115,19 +118,19 @@
     stream.parts = std::move(parts);
     stream.expected = expected;
     stream.gap = this->model.expect_gap(expected);
-    stream.is_gap_usual = false;
+    stream.is_next_gap_regular = false;
     this->expect_next_event(stream, now);
     // The new parts read what the lost ones knew, between the work of others: twice the time of an idle path.
     stream.due += 2 * expected.reading;
     stream.joint_due = stream.due;
 }
 
-void stall_watch::remove(stream_key key)
+void stall_detector::remove(stream_key key)
 {
     this->streams.erase(key);
 }
 
-std::map<upstream_id, time_point> stall_watch::list_last_moves(time_point now) const
+std::map<upstream_id, time_point> stall_detector::last_event_times(time_point now) const
 {
     std::map<upstream_id, time_point> last_moved;
     for (const auto& [key, stream] : this->streams) {
@@ -142,24 +145,24 @@
     return last_moved;
 }
 
-bool stall_watch::is_any_silent(time_point now) const
+bool stall_detector::is_any_silent(time_point now) const
 {
     std::size_t jointly = 0;
     for (const auto& [key, stream] : this->streams) {
         jointly += is_jointly_silent(stream, now) ? 1 : 0;
-        if (stream.due <= now || jointly >= this->settings.least_joint_streams) {
+        if (stream.due <= now || jointly >= this->settings.min_joint_streams) {
             return true;
         }
     }
     return false;
 }
 
-std::set<upstream_id> stall_watch::find_suspects(time_point now) const
+std::set<upstream_id> stall_detector::find_suspects(time_point now) const
 {
     if (!this->is_any_silent(now)) {
         return {}; // nearly always, at a hundred looks a second
     }
-    const std::map<upstream_id, time_point> last_moved = this->list_last_moves(now);
+    const std::map<upstream_id, time_point> last_moved = this->last_event_times(now);
     std::set<upstream_id> suspects;
     for (const auto& [key, stream] : this->streams) {
         if (stream.due > now) {
@@ -176,7 +179,7 @@
     return suspects;
 }
 
-void stall_watch::add_jointly_silent(std::set<upstream_id>& suspects, time_point now) const
+void stall_detector::add_jointly_silent(std::set<upstream_id>& suspects, time_point now) const
 {
     struct part_movement
     {
@@ -197,49 +200,48 @@
         }
     }
     for (const auto& [id, movement] : movements) {
-        if (movement.silent >= this->settings.least_joint_streams
-            && movement.moved <= movement.silent_since) {
+        if (movement.silent >= this->settings.min_joint_streams && movement.moved <= movement.silent_since) {
             suspects.insert(id);
         }
     }
 }
 
-void stall_watch::look()
+void stall_detector::look()
 {
     const time_point now = this->hooks.timers.now();
-    const duration late = now - this->last_look - this->settings.look_interval;
-    this->last_look = now;
+    const duration late = now - this->last_check - this->settings.look_interval;
+    this->last_check = now;
     this->hooks.timers.schedule_after(this->settings.look_interval, [this] { this->look(); });
-    if (late > this->settings.late_look) {
-        this->forgive(late);
+    if (late > this->settings.late_check_threshold) {
+        this->extend_deadlines(late);
         return; // events and answers may lie unread in the sockets
     }
     this->probe_suspects(now);
     this->probes.look();
 }
 
-void stall_watch::forgive(duration stood_still)
+void stall_detector::extend_deadlines(duration stood_still)
 {
     for (auto& [key, stream] : this->streams) {
         stream.due += stood_still;
         stream.joint_due += stood_still;
     }
-    this->probes.forgive(stood_still);
+    this->probes.extend_deadlines(stood_still);
 }
 
-void stall_watch::suspect(const upstream_id& id)
+void stall_detector::suspect(const upstream_id& id)
 {
     this->named.insert(id);
 }
 
-bool stall_watch::has_moved(const upstream_id& id, time_point since) const
+bool stall_detector::has_progressed(const upstream_id& id, time_point since) const
 {
     return std::any_of(this->streams.begin(), this->streams.end(), [&id, since](const auto& item) {
         return item.second.last_event >= since && passes(item.second, id);
     });
 }
 
-bool stall_watch::is_moving(const upstream_id& id) const
+bool stall_detector::is_progressing(const upstream_id& id) const
 {
     const time_point now = this->hooks.timers.now();
     return std::any_of(this->streams.begin(), this->streams.end(), [&id, now](const auto& item) {
@@ -247,15 +249,15 @@
     });
 }
 
-void stall_watch::forget(const std::function<bool(const upstream_id&)>& is_known)
+void stall_detector::forget(const std::function<bool(const upstream_id&)>& is_known)
 {
     this->probes.forget(is_known);
 }
 
-void stall_watch::probe_suspects(time_point now)
+void stall_detector::probe_suspects(time_point now)
 {
     std::set<upstream_id> suspects = this->find_suspects(now);
-    this->add_slow(suspects, now);
+    this->add_slow_stages(suspects, now);
     suspects.merge(this->named);
     this->named.clear();
     for (const upstream_id& id : suspects) {
@@ -263,7 +265,7 @@
     }
 }
 
-void stall_watch::add_slow(std::set<upstream_id>& suspects, time_point now) const
+void stall_detector::add_slow_stages(std::set<upstream_id>& suspects, time_point now) const
 {
     const auto may_be_dead = [this, &suspects](const upstream_id& id) {
         const bool has_answered =
--- a/src/libs/health/upstreamprobes.cpp
+++ b/src/libs/health/upstreamprobes.cpp
@@ -18,8 +18,8 @@
     if (!this->answer_time.has_value()) {
         return this->settings.first_answer_limit;
     }
-    const duration usual(static_cast<duration::rep>(this->answer_time.bound(missing_deviations)));
-    return std::clamp(usual, this->settings.least_answer_limit, this->settings.most_answer_limit);
+    const duration usual(static_cast<duration::rep>(this->answer_time.bound(timeout_deviations)));
+    return std::clamp(usual, this->settings.min_answer_limit, this->settings.max_answer_limit);
 }
 
 bool upstream_probes::take_from_budget(time_point now)
@@ -38,9 +38,9 @@
 bool upstream_probes::ask(const upstream_id& id)
 {
     const time_point now = this->hooks.timers.now();
-    const auto quiet = this->quiet_until.find(id);
+    const auto quiet = this->no_probe_before.find(id);
     if (this->is_dead(id) || this->is_asked(id)
-        || (quiet != this->quiet_until.end() && quiet->second > now)) {
+        || (quiet != this->no_probe_before.end() && quiet->second > now)) {
         return false;
     }
     if (!this->take_from_budget(now)) {
@@ -53,7 +53,7 @@
 void upstream_probes::send(const upstream_id& id)
 {
     const time_point now = this->hooks.timers.now();
-    this->quiet_until[id] = now + this->settings.pause;
+    this->no_probe_before[id] = now + this->settings.pause;
     this->asked[id] = {now, now + this->answer_limit(), 0, false};
     this->hooks.send(
         id, [this, id, now](const std::optional<double>& pace) { this->take_answer(id, now, pace); });
@@ -78,11 +78,11 @@
     if (is_awaited) {
         this->asked.erase(pending);
     }
-    this->quiet_until[id] = now + this->settings.alive_pause;
-    this->revive(id, *pace);
+    this->no_probe_before[id] = now + this->settings.alive_probe_interval;
+    this->mark_alive(id, *pace);
 }
 
-void upstream_probes::revive(const upstream_id& id, double pace)
+void upstream_probes::mark_alive(const upstream_id& id, double pace)
 {
     this->dead.erase(id);
     if (pace >= this->settings.slow_pace) {
@@ -96,7 +96,7 @@
 void upstream_probes::look()
 {
     const time_point now = this->hooks.timers.now();
-    std::erase_if(this->quiet_until, [now](const auto& item) { return item.second <= now; });
+    std::erase_if(this->no_probe_before, [now](const auto& item) { return item.second <= now; });
     std::vector<upstream_id> due;
     for (const auto& [id, probe] : this->asked) {
         if (probe.due <= now) {
@@ -107,32 +107,33 @@
     if (!due.empty()) {
         this->condemn(due);
     }
-    this->ask_dead_again(now);
-    this->ask_slow_again(now);
+    this->reprobe_dead(now);
+    this->reprobe_slow(now);
 }
 
-bool upstream_probes::has_sign_of_others(const upstream_id& id, time_point since) const
+bool upstream_probes::has_sign_of_other_upstream(const upstream_id& id, time_point since) const
 {
     const auto speaks = [&id, since](const auto& answer) {
         return answer && answer->first != id && answer->second >= since;
     };
-    return speaks(this->last_answer) || speaks(this->other_answer) || this->hooks.has_other_moved(id, since);
+    return speaks(this->last_answer) || speaks(this->other_answer)
+        || this->hooks.has_other_progressed(id, since);
 }
 
 bool upstream_probes::judge(const upstream_id& id, time_point now)
 {
     pending_probe& probe = this->asked[id];
-    if (this->hooks.has_moved(id, probe.sent)) {
+    if (this->hooks.has_progressed(id, probe.sent)) {
         this->asked.erase(id); // the answer is lost, but it works
         return false;
     }
-    if (this->has_sign_of_others(id, probe.sent)) {
+    if (this->has_sign_of_other_upstream(id, probe.sent)) {
         return true;
     }
-    ++probe.doubts;
-    if (probe.doubts <= this->settings.most_doubts) {
+    ++probe.extensions;
+    if (probe.extensions <= this->settings.max_extensions) {
         probe.due = now + this->answer_limit();
-        this->ask_other(id);
+        this->probe_other(id);
         return false;
     }
     // Nobody gives a sign of life. If there is anybody else, it is this host that can't hear.
@@ -143,7 +144,7 @@
     return true;
 }
 
-void upstream_probes::ask_other(const upstream_id& id)
+void upstream_probes::probe_other(const upstream_id& id)
 {
     const std::optional<upstream_id> other = this->hooks.find_other(id);
     if (other && !this->is_asked(*other)) {
@@ -161,29 +162,29 @@
     this->hooks.on_dead(ids);
 }
 
-void upstream_probes::ask_dead_again(time_point now)
+void upstream_probes::reprobe_dead(time_point now)
 {
     std::vector<upstream_id> due;
     for (auto& [id, item] : this->dead) {
-        if (item.next_probe <= now && !this->is_asked(id) && this->hooks.is_watcher(id)) {
+        if (item.next_probe <= now && !this->is_asked(id) && this->hooks.is_assigned_prober(id)) {
             item.next_probe = now + this->settings.dead_interval;
             due.push_back(id);
         }
     }
     std::erase_if(this->dead, [this, now](const auto& item) {
-        return now - item.second.since >= this->settings.unwatched_time
-            && !this->hooks.is_watcher(item.first);
+        return now - item.second.since >= this->settings.unassigned_verdict_time
+            && !this->hooks.is_assigned_prober(item.first);
     });
     for (const upstream_id& id : due) {
         this->send(id);
     }
 }
 
-void upstream_probes::ask_slow_again(time_point now)
+void upstream_probes::reprobe_slow(time_point now)
 {
     std::vector<upstream_id> due;
     for (auto& [id, next] : this->slow) {
-        if (next <= now && this->hooks.is_watcher(id) && !this->is_asked(id)) {
+        if (next <= now && this->hooks.is_assigned_prober(id) && !this->is_asked(id)) {
             next = now + this->settings.slow_interval;
             due.push_back(id);
         }
@@ -193,36 +194,36 @@
     }
 }
 
-void upstream_probes::forgive(duration stood_still)
+void upstream_probes::extend_deadlines(duration stood_still)
 {
     for (auto& [id, probe] : this->asked) {
         probe.due += stood_still;
     }
 }
 
-void upstream_probes::note_told_dead(const upstream_id& id)
+void upstream_probes::note_reported_dead(const upstream_id& id)
 {
     const time_point now = this->hooks.timers.now();
     const auto known = this->dead.find(id);
     if (known != this->dead.end()) {
         known->second.since = now;
-    } else if (this->hooks.is_watcher(id)) {
+    } else if (this->hooks.is_assigned_prober(id)) {
         this->ask(id);
     }
 }
 
-void upstream_probes::note_told_alive(const upstream_id& id, double pace, time_point at)
+void upstream_probes::note_reported_alive(const upstream_id& id, double pace, time_point at)
 {
     const auto known = this->dead.find(id);
     if (known != this->dead.end() && known->second.since >= at) {
         return; // this host's own verdict is newer
     }
-    const time_point quiet = at + this->settings.alive_pause;
+    const time_point quiet = at + this->settings.alive_probe_interval;
     if (quiet > this->hooks.timers.now()) {
-        time_point& until = this->quiet_until[id];
+        time_point& until = this->no_probe_before[id];
         until = std::max(until, quiet);
     }
-    this->revive(id, pace);
+    this->mark_alive(id, pace);
 }
 
 void upstream_probes::forget(const std::function<bool(const upstream_id&)>& is_known)
--- a/src/libs/placement/grouprate.cpp
+++ b/src/libs/placement/grouprate.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /// Halvings of the range of tokens; after these it is far below one token.
-constexpr int room_search_steps = 40;
+constexpr int capacity_search_steps = 40;
 /// Tokens beyond which no more room is looked for; profiles without cache memory would have no end.
-constexpr double most_room_tokens = 1e9;
+constexpr double max_capacity_tokens = 1e9;
 constexpr double milliseconds_per_second = 1000;
 
 bool hold_copies(const engine_profile& profile, const engine_list& engines, double tokens, double copies)
 {
     unsigned sum = 0;
     for (const placeable_engine* engine : engines) {
-        sum += count_layers_beside(profile, *engine, tokens);
+        sum += count_placeable_layers(profile, *engine, tokens);
     }
     return sum >= copies * profile.layers;
 }
@@ -28,7 +28,7 @@
 struct request_cost
 {
     double copies = 0;
-    double life_ms = 0; ///< from its first engine to its last token
+    double residence_ms = 0; ///< from its first engine to its last token
     double longest_reading_ms = 0; ///< on the engine that reads longest
 };
 
@@ -38,20 +38,20 @@
     double parts = 0;
     for (const placeable_engine* engine : engines) {
         const card_kind* card = profile.find_card(engine->card);
-        const unsigned layers = count_layers_beside(profile, *engine, tokens);
+        const unsigned layers = count_placeable_layers(profile, *engine, tokens);
         if (card == nullptr || layers == 0) {
             continue;
         }
         const double share = static_cast<double>(layers) / profile.layers;
         const double reading_ms = share * predict_prompt_ms(profile, *card);
         cost.copies += share;
-        cost.life_ms +=
+        cost.residence_ms +=
             reading_ms + share * profile.usual_answer_tokens * profile.step_ms * card->step_factor;
         cost.longest_reading_ms = std::max(cost.longest_reading_ms, reading_ms);
         ++parts;
     }
-    cost.life_ms += parts * profile.usual_answer_tokens * engine_hop_ms;
-    cost.life_ms /= std::max(cost.copies, 1.0);
+    cost.residence_ms += parts * profile.usual_answer_tokens * engine_hop_ms;
+    cost.residence_ms /= std::max(cost.copies, 1.0);
     return cost;
 }
 
@@ -67,7 +67,7 @@
 
 } // namespace
 
-unsigned count_layers_beside(const engine_profile& profile, const placeable_engine& engine, double tokens)
+unsigned count_placeable_layers(const engine_profile& profile, const placeable_engine& engine, double tokens)
 {
     const card_kind* card = profile.find_card(engine.card);
     if (card == nullptr) {
@@ -77,7 +77,7 @@
     return static_cast<unsigned>(std::min<double>(fitting, profile.layers));
 }
 
-std::optional<double> find_largest_room(
+std::optional<double> find_max_token_capacity(
     const engine_profile& profile, const engine_list& engines, double copies)
 {
     if (!hold_copies(profile, engines, 0, copies)) {
@@ -85,34 +85,34 @@
     }
     double low = 0;
     double high = 1;
-    while (hold_copies(profile, engines, high, copies) && high < most_room_tokens) {
+    while (hold_copies(profile, engines, high, copies) && high < max_capacity_tokens) {
         low = high;
         high *= 2;
     }
-    for (int turn = 0; turn < room_search_steps; ++turn) {
+    for (int turn = 0; turn < capacity_search_steps; ++turn) {
         const double middle = (low + high) / 2;
         (hold_copies(profile, engines, middle, copies) ? low : high) = middle;
     }
     return low;
 }
 
-double predict_life_ms(const engine_profile& profile, const engine_list& engines, double tokens)
+double predict_residence_ms(const engine_profile& profile, const engine_list& engines, double tokens)
 {
-    return predict_cost(profile, engines, tokens).life_ms;
+    return predict_cost(profile, engines, tokens).residence_ms;
 }
 
 double predict_group_rate(const engine_profile& profile, const engine_list& engines, unsigned hall_count)
 {
-    const std::optional<double> room = find_largest_room(profile, engines, 1);
+    const std::optional<double> room = find_max_token_capacity(profile, engines, 1);
     if (!room) {
         return 0;
     }
     const request_cost cost = predict_cost(profile, engines, *room);
-    double at_once = *room / std::max(usual_tokens(profile), 1.0);
+    double at_once = *room / std::max(usual_request_tokens(profile), 1.0);
     if (profile.request_slots > 0) {
         at_once = std::min<double>(at_once, profile.request_slots);
     }
-    double rate = at_once / std::max(cost.life_ms / milliseconds_per_second, 1e-6);
+    double rate = at_once / std::max(cost.residence_ms / milliseconds_per_second, 1e-6);
     if (cost.longest_reading_ms > 0) {
         rate = std::min(rate, milliseconds_per_second / cost.longest_reading_ms);
     }
--- a/src/libs/placement/hallgroups.cpp
+++ b/src/libs/placement/hallgroups.cpp
@@ -30,8 +30,8 @@
 public:
     hall_grouping(const engine_profile& profile, const placement_aim& aim)
         : profile(profile)
-        , least_room(aim.least_requests * usual_tokens(profile))
-        , least_tight_room(aim.least_requests_in_tight_hall * usual_tokens(profile))
+        , min_capacity(aim.min_requests * usual_request_tokens(profile))
+        , min_capacity_in_small_hall(aim.min_requests_in_small_hall * usual_request_tokens(profile))
     {
     }
 
@@ -40,10 +40,10 @@
         std::vector<hall_set> groups;
         std::vector<hall_set> tight;
         for (const hall_set& hall : halls) {
-            (this->holds_model(hall, this->least_room) ? groups : tight).push_back(hall);
+            (this->holds_model(hall, this->min_capacity) ? groups : tight).push_back(hall);
         }
-        const std::vector<hall_set> apart = this->join_beside(tight, this->least_tight_room);
-        const std::vector<hall_set> joined = this->join_beside(tight, this->least_room);
+        const std::vector<hall_set> apart = this->form_groups(tight, this->min_capacity_in_small_hall);
+        const std::vector<hall_set> joined = this->form_groups(tight, this->min_capacity);
         const bool is_better_apart = this->sum_rates(apart) >= this->sum_rates(joined);
         const std::vector<hall_set>& chosen = is_better_apart ? apart : joined;
         groups.insert(groups.end(), chosen.begin(), chosen.end());
@@ -53,7 +53,7 @@
 private:
     [[nodiscard]] bool holds_model(const hall_set& set, double room) const
     {
-        return find_largest_room(this->profile, set.engines, 1).value_or(-1) >= room;
+        return find_max_token_capacity(this->profile, set.engines, 1).value_or(-1) >= room;
     }
 
     [[nodiscard]] double sum_rates(const std::vector<hall_set>& sets) const
@@ -63,20 +63,20 @@
         });
     }
 
-    [[nodiscard]] double weights_held(const hall_set& set) const
+    [[nodiscard]] double max_layers_held(const hall_set& set) const
     {
         return std::accumulate(
             set.engines.begin(), set.engines.end(), 0.0, [this](double sum, const placeable_engine* engine) {
-                return sum + count_layers_beside(this->profile, *engine, 0);
+                return sum + count_placeable_layers(this->profile, *engine, 0);
             });
     }
 
     /// Joins halls until each group holds the model beside that room: the one that holds most with the one
     /// that holds least of those that suffice, so that the others are left for more groups.
-    [[nodiscard]] std::vector<hall_set> join_beside(std::vector<hall_set> halls, double room) const
+    [[nodiscard]] std::vector<hall_set> form_groups(std::vector<hall_set> halls, double room) const
     {
         std::stable_sort(halls.begin(), halls.end(), [this](const hall_set& left, const hall_set& right) {
-            return this->weights_held(left) > this->weights_held(right);
+            return this->max_layers_held(left) > this->max_layers_held(right);
         });
         std::vector<hall_set> made;
         while (!halls.empty()) {
@@ -106,8 +106,8 @@
     }
 
     const engine_profile& profile;
-    double least_room; ///< tokens, of the aim
-    double least_tight_room; ///< tokens, of a hall that stays apart for want of a better way
+    double min_capacity; ///< tokens, of the aim
+    double min_capacity_in_small_hall; ///< tokens, of a hall that stays apart for want of a better way
 };
 
 } // namespace
--- a/src/libs/placement/layercost.cpp
+++ b/src/libs/placement/layercost.cpp
@@ -21,7 +21,7 @@
         * card.prompt_factor;
 }
 
-double usual_tokens(const engine_profile& profile)
+double usual_request_tokens(const engine_profile& profile)
 {
     return profile.usual_prompt_tokens + profile.usual_answer_tokens;
 }
@@ -34,7 +34,7 @@
 
 double predict_layer_cost(const engine_profile& profile, const card_kind& card, const placement_aim& aim)
 {
-    const double tokens = aim.least_requests * usual_tokens(profile);
+    const double tokens = aim.min_requests * usual_request_tokens(profile);
     const double layers = std::max(1.0, count_fitting_layers(profile, card, tokens));
     const double step_ms = profile.step_ms * card.step_factor;
     const double work_ms = predict_prompt_ms(profile, card) + profile.usual_answer_tokens * step_ms;
--- a/src/libs/placement/layercost.h
+++ b/src/libs/placement/layercost.h
@@ -6,7 +6,7 @@
 namespace sailtiller {
 
 /// Tokens of a usual request, prompt and answer.
-double usual_tokens(const engine_profile& profile);
+double usual_request_tokens(const engine_profile& profile);
 
 /// Milliseconds in which such a card reads a usual prompt through the whole model.
 double predict_prompt_ms(const engine_profile& profile, const card_kind& card);
--- a/src/libs/placement/layercoverage.cpp
+++ b/src/libs/placement/layercoverage.cpp
@@ -10,29 +10,29 @@
 
 /// Worth of one more holder for a layer that has none, one, or more. A layer without a holder stops its hall,
 /// so it goes before any number of others.
-constexpr double uncovered_worth = 1000;
-constexpr double single_worth = 10;
-constexpr double spare_worth = 1;
+constexpr double uncovered_value = 1000;
+constexpr double second_holder_value = 10;
+constexpr double further_holder_value = 1;
 /// Worth of a holder that is faster than all others of a layer: the share of its time that a request saves
 /// there. Below the worth of a second holder, above that of a third.
-constexpr double faster_worth = 8;
+constexpr double faster_holder_value = 8;
 /// A lost head can't be replaced within a running stream, so layer 0 is doubled first.
-constexpr double head_worth = 30;
+constexpr double first_layer_value = 30;
 /// Sums of the same worths in another order differ by less than this.
-constexpr double worth_margin = 1e-9;
+constexpr double value_margin = 1e-9;
 /// A second holder never takes part in giving up a layer's last holder.
-constexpr unsigned least_holders_to_give = 2;
+constexpr unsigned min_holders_to_release = 2;
 
 /// Worth of one more holder for a layer that has so many.
-double worth_of_holder(unsigned holders)
+double value_of_holder(unsigned holders)
 {
     switch (holders) {
     case 0:
-        return uncovered_worth;
+        return uncovered_value;
     case 1:
-        return single_worth;
+        return second_holder_value;
     default:
-        return spare_worth / holders;
+        return further_holder_value / holders;
     }
 }
 
@@ -59,25 +59,25 @@
     }
 }
 
-double layer_coverage::worth_of(unsigned layer, double cost) const
+double layer_coverage::value_of(unsigned layer, double cost) const
 {
     const unsigned holder_count = this->holders[layer];
     const double saved = holder_count == 0 ? 0 : std::max(0.0, 1 - cost / this->costs[layer]);
-    return worth_of_holder(holder_count) + faster_worth * saved
-        + (layer == 0 && holder_count <= 1 ? head_worth : 0);
+    return value_of_holder(holder_count) + faster_holder_value * saved
+        + (layer == 0 && holder_count <= 1 ? first_layer_value : 0);
 }
 
-layer_span layer_coverage::find_worthiest(unsigned size, double cost) const
+layer_span layer_coverage::find_most_valuable(unsigned size, double cost) const
 {
     double sum = 0;
     for (unsigned layer = 0; layer < size; ++layer) {
-        sum += this->worth_of(layer, cost);
+        sum += this->value_of(layer, cost);
     }
     layer_span best{0, size};
     double most = sum;
     for (unsigned begin = 1; begin + size <= this->count(); ++begin) {
-        sum += this->worth_of(begin + size - 1, cost) - this->worth_of(begin - 1, cost);
-        if (sum > most + worth_margin) {
+        sum += this->value_of(begin + size - 1, cost) - this->value_of(begin - 1, cost);
+        if (sum > most + value_margin) {
             most = sum;
             best = {begin, begin + size};
         }
@@ -85,7 +85,7 @@
     return best;
 }
 
-layer_span layer_coverage::find_hole(unsigned begin) const
+layer_span layer_coverage::find_coverage_gap(unsigned begin) const
 {
     layer_span hole{begin, begin};
     while (hole.begin < this->count() && this->holders[hole.begin] != 0) {
@@ -98,18 +98,18 @@
     return hole;
 }
 
-bool layer_coverage::has_hole() const
+bool layer_coverage::has_coverage_gap() const
 {
-    return this->has_hole_within({0, this->count()});
+    return this->has_coverage_gap_within({0, this->count()});
 }
 
-bool layer_coverage::has_hole_within(const layer_span& span) const
+bool layer_coverage::has_coverage_gap_within(const layer_span& span) const
 {
     const auto end = this->holders.begin() + std::min(span.end, this->count());
     return std::find(this->holders.begin() + span.begin, end, 0U) != end;
 }
 
-bool layer_coverage::may_lose(const layer_span& from, const layer_span& to) const
+bool layer_coverage::keeps_coverage(const layer_span& from, const layer_span& to) const
 {
     for (unsigned layer = from.begin; layer < std::min(from.end, this->count()); ++layer) {
         if (!to.holds(layer) && !this->is_spare(layer)) {
@@ -121,7 +121,7 @@
 
 bool layer_coverage::is_spare(unsigned layer) const
 {
-    return this->holders[layer] >= least_holders_to_give;
+    return this->holders[layer] >= min_holders_to_release;
 }
 
 } // namespace sailtiller
--- a/src/libs/placement/layerorder.h
+++ b/src/libs/placement/layerorder.h
@@ -43,7 +43,7 @@
     std::optional<layer_span> held; ///< layers whose weights are loaded; nothing if the report doesn't say
     std::optional<start_moment> born; ///< of the start that answered; nothing if the report doesn't say
     bool is_leaving = false; ///< the upstream says that it ends before long
-    bool is_of_other = false; ///< the upstream that was asked for doesn't stand at that address
+    bool is_other_upstream = false; ///< the upstream that was asked for doesn't stand at that address
 };
 
 /// How orders look on the wire.
--- a/src/libs/placement/layerplan.cpp
+++ b/src/libs/placement/layerplan.cpp
@@ -20,7 +20,7 @@
 {
 public:
     group_plan(
-        const engine_profile& profile, const placement_aim& aim, engine_list engines, watch_phase phase)
+        const engine_profile& profile, const placement_aim& aim, engine_list engines, observation_phase phase)
         : profile(profile)
         , aim(aim)
         , engines(std::move(engines))
@@ -30,7 +30,7 @@
         for (const placeable_engine* engine : this->engines) {
             this->coverage.add_holder(engine->held, this->cost_on(*engine));
         }
-        this->token_room = this->choose_room();
+        this->token_capacity = this->choose_token_capacity();
     }
 
     std::vector<placement_step> run()
@@ -41,16 +41,16 @@
             this->lay_out_all();
             return this->steps;
         }
-        this->fill_empty();
-        this->extend_into_holes();
-        this->move_into_holes();
+        this->assign_empty_engines();
+        this->extend_into_coverage_gaps();
+        this->move_into_coverage_gaps();
         if (!this->aim.balances || this->is_changing()) {
             return this->steps;
         }
-        if (this->coverage.has_hole() && this->phase != watch_phase::begun) {
+        if (this->coverage.has_coverage_gap() && this->phase != observation_phase::begun) {
             this->lay_out_in_place();
-        } else if (this->is_crowded() && this->phase == watch_phase::at_rest) {
-            return balance_layout(this->profile, this->engines, this->token_room, {});
+        } else if (this->has_high_usage() && this->phase == observation_phase::stable) {
+            return balance_layout(this->profile, this->engines, this->token_capacity, {});
         }
         return this->steps;
     }
@@ -73,16 +73,16 @@
     /// The most tokens for which there is room everywhere beside the wanted copies, or fewer copies if the
     /// cards don't hold them beside the least room. Cards that hold the model only beside less than that get
     /// the most room that one copy leaves.
-    [[nodiscard]] double choose_room() const
+    [[nodiscard]] double choose_token_capacity() const
     {
-        const double least = this->aim.least_requests * usual_tokens(this->profile);
+        const double least = this->aim.min_requests * usual_request_tokens(this->profile);
         const auto count = static_cast<double>(this->engines.size());
-        const double copies = std::max(this->aim.copies, count / this->aim.most_parts);
-        const double wanted = find_largest_room(this->profile, this->engines, copies).value_or(0);
+        const double copies = std::max(this->aim.copies, count / this->aim.max_stages);
+        const double wanted = find_max_token_capacity(this->profile, this->engines, copies).value_or(0);
         if (wanted >= least) {
             return wanted;
         }
-        const std::optional<double> single = find_largest_room(this->profile, this->engines, 1);
+        const std::optional<double> single = find_max_token_capacity(this->profile, this->engines, 1);
         return std::min(least, single.value_or(least));
     }
 
@@ -97,10 +97,12 @@
 
     /// True if some engine's room is nearly used up, so that callers gain by a better layout; each step to it
     /// leads streams elsewhere, which costs those.
-    [[nodiscard]] bool is_crowded() const
+    [[nodiscard]] bool has_high_usage() const
     {
-        return std::any_of(this->engines.begin(), this->engines.end(),
-            [this](const placeable_engine* engine) { return engine->used_share >= this->aim.crowded_share; });
+        return std::any_of(
+            this->engines.begin(), this->engines.end(), [this](const placeable_engine* engine) {
+                return engine->used_share >= this->aim.high_usage_share;
+            });
     }
 
     /// For a hole that no step closes: one copy of the layers, on the engines in the order in which they hold
@@ -110,7 +112,7 @@
         engine_list in_order;
         unsigned left = 0; // layers that the engines from the present one on hold at the most
         for (const placeable_engine* engine : this->engines) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             if (size > 0) {
                 in_order.push_back(engine);
                 left += size;
@@ -126,7 +128,7 @@
         std::vector<engine_move> wanted;
         unsigned covered = 0;
         for (const placeable_engine* engine : in_order) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             const unsigned open = this->profile.layers - covered;
             const unsigned spare = left > open ? left - open : 0;
             const unsigned earliest = covered > spare ? covered - spare : 0;
@@ -138,16 +140,16 @@
             covered = std::max(covered, begin + size);
             left -= size;
         }
-        this->go_towards(wanted);
+        this->add_steps_towards(wanted);
     }
 
     /// Takes the steps that give up no last holder; if there is none, all of them, as no path passes the hole
     /// anyway.
-    void go_towards(const std::vector<engine_move>& wanted)
+    void add_steps_towards(const std::vector<engine_move>& wanted)
     {
         layer_coverage left = this->coverage;
         for (const engine_move& move : wanted) {
-            if (left.may_lose(move.engine->held, move.span)) {
+            if (left.keeps_coverage(move.engine->held, move.span)) {
                 left.remove_holder(move.engine->held);
                 this->place(*move.engine, move.span);
             }
@@ -163,9 +165,9 @@
     void place(const placeable_engine& engine, layer_span span)
     {
         this->coverage.remove_holder(engine.held);
-        const bool closes_hole = this->coverage.has_hole_within(span);
+        const bool closes_coverage_gap = this->coverage.has_coverage_gap_within(span);
         this->coverage.add_holder(span, this->cost_on(engine));
-        this->steps.push_back({engine.id, span, closes_hole});
+        this->steps.push_back({engine.id, span, closes_coverage_gap});
         this->moved.insert(engine.id);
     }
 
@@ -174,7 +176,7 @@
     {
         unsigned next = 0;
         for (const placeable_engine* engine : this->engines) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             if (size == 0 || engine->is_absent) {
                 continue;
             }
@@ -184,7 +186,7 @@
         }
     }
 
-    void fill_empty()
+    void assign_empty_engines()
     {
         engine_list empty;
         for (const placeable_engine* engine : this->engines) {
@@ -192,34 +194,35 @@
                 empty.push_back(engine);
             }
         }
-        const unsigned share = this->aim.balances ? this->share_of_holes(empty.size()) : 0;
+        const unsigned share = this->aim.balances ? this->gap_layers_per_engine(empty.size()) : 0;
         for (const placeable_engine* engine : empty) {
-            const unsigned most = count_layers_beside(this->profile, *engine, this->token_room);
-            const unsigned size = share > 0 && this->coverage.has_hole() ? std::min(most, share) : most;
+            const unsigned most = count_placeable_layers(this->profile, *engine, this->token_capacity);
+            const unsigned size =
+                share > 0 && this->coverage.has_coverage_gap() ? std::min(most, share) : most;
             if (size > 0) {
-                this->place(*engine, this->coverage.find_worthiest(size, this->cost_on(*engine)));
+                this->place(*engine, this->coverage.find_most_valuable(size, this->cost_on(*engine)));
             }
         }
     }
 
     /// Layers of the holes for each of so many empty engines. Loads run side by side, so a hole is closed
     /// sooner by several that load a little each than by one that loads all of it; they take more later.
-    [[nodiscard]] unsigned share_of_holes(std::size_t engine_count) const
+    [[nodiscard]] unsigned gap_layers_per_engine(std::size_t engine_count) const
     {
         unsigned open = 0;
-        for (layer_span hole = this->coverage.find_hole(0); !hole.is_empty();
-             hole = this->coverage.find_hole(hole.end)) {
+        for (layer_span hole = this->coverage.find_coverage_gap(0); !hole.is_empty();
+             hole = this->coverage.find_coverage_gap(hole.end)) {
             open += hole.count();
         }
         const auto count = static_cast<unsigned>(engine_count);
         return count == 0 ? 0 : (open + count - 1) / count;
     }
 
-    void extend_into_holes()
+    void extend_into_coverage_gaps()
     {
         unsigned begin = 0;
-        for (layer_span hole = this->coverage.find_hole(begin); !hole.is_empty();
-             hole = this->coverage.find_hole(begin)) {
+        for (layer_span hole = this->coverage.find_coverage_gap(begin); !hole.is_empty();
+             hole = this->coverage.find_coverage_gap(begin)) {
             this->extend_into(hole);
             begin = hole.end;
         }
@@ -263,10 +266,10 @@
         return best;
     }
 
-    [[nodiscard]] unsigned most_layers_at_hole(const placeable_engine& engine) const
+    [[nodiscard]] unsigned max_layers_at_coverage_gap(const placeable_engine& engine) const
     {
-        return count_layers_beside(
-            this->profile, engine, this->aim.least_requests_at_hole * usual_tokens(this->profile));
+        return count_placeable_layers(this->profile, engine,
+            this->aim.min_requests_at_coverage_gap * usual_request_tokens(this->profile));
     }
 
     /// Layers at the engine's far end that another one holds too, so that it may give them up.
@@ -290,13 +293,13 @@
     [[nodiscard]] unsigned spare_layers(const placeable_engine& engine, bool is_to_the_right) const
     {
         const unsigned kept = engine.held.count() - this->droppable_layers(engine, is_to_the_right);
-        const unsigned most = this->most_layers_at_hole(engine);
+        const unsigned most = this->max_layers_at_coverage_gap(engine);
         return most > kept ? most - kept : 0;
     }
 
     [[nodiscard]] layer_span extend(const placeable_engine& engine, bool is_to_the_right, unsigned more) const
     {
-        const unsigned most = std::max(this->most_layers_at_hole(engine), engine.held.count());
+        const unsigned most = std::max(this->max_layers_at_coverage_gap(engine), engine.held.count());
         const unsigned wanted = engine.held.count() + more;
         const unsigned dropped = wanted > most ? wanted - most : 0;
         if (is_to_the_right) {
@@ -306,7 +309,7 @@
     }
 
     /// True if every layer of this engine has another holder.
-    [[nodiscard]] bool can_give_up(const placeable_engine& engine) const
+    [[nodiscard]] bool is_redundant(const placeable_engine& engine) const
     {
         if (engine.held.is_empty() || this->moved.count(engine.id) != 0) {
             return false;
@@ -335,22 +338,22 @@
     }
 
     /// Where the engine would be worth most if it held nothing.
-    [[nodiscard]] layer_span find_span_anew(const placeable_engine& engine, unsigned size) const
+    [[nodiscard]] layer_span find_best_span(const placeable_engine& engine, unsigned size) const
     {
         layer_coverage others = this->coverage;
         others.remove_holder(engine.held);
-        return others.find_worthiest(size, this->cost_on(engine));
+        return others.find_most_valuable(size, this->cost_on(engine));
     }
 
-    void move_into_holes()
+    void move_into_coverage_gaps()
     {
         for (const placeable_engine* engine : this->list_donors()) {
-            if (!this->coverage.has_hole()) {
+            if (!this->coverage.has_coverage_gap()) {
                 return;
             }
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
-            if (size > 0 && this->can_give_up(*engine)) {
-                this->place(*engine, this->find_span_anew(*engine, size));
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
+            if (size > 0 && this->is_redundant(*engine)) {
+                this->place(*engine, this->find_best_span(*engine, size));
             }
         }
     }
@@ -358,9 +361,9 @@
     const engine_profile& profile;
     const placement_aim& aim;
     engine_list engines;
-    watch_phase phase;
+    observation_phase phase;
     layer_coverage coverage;
-    double token_room = 0;
+    double token_capacity = 0;
     std::vector<placement_step> steps;
     std::set<upstream_id> moved;
 };
@@ -395,7 +398,7 @@
 } // namespace
 
 std::vector<placement_step> plan_layers(const engine_profile& profile,
-    const std::vector<placeable_engine>& engines, const placement_aim& aim, watch_phase phase)
+    const std::vector<placeable_engine>& engines, const placement_aim& aim, observation_phase phase)
 {
     const std::vector<placeable_engine> bounded = bound_to_model(profile, engines);
     std::vector<placement_step> steps;
--- a/src/libs/placement/layerplan.h
+++ b/src/libs/placement/layerplan.h
@@ -26,7 +26,7 @@
 {
     upstream_id id;
     layer_span span;
-    bool closes_hole = false; ///< some of the layers have no other holder
+    bool closes_coverage_gap = false; ///< some of the layers have no other holder
 
     auto operator<=>(const placement_step&) const = default;
 };
@@ -39,25 +39,25 @@
     double copies = 1.3;
     /// Engines that run one request in a hall of many, at the most in the mean: each part adds a hop to every
     /// token, and an engine takes paths of 32 parts at the most.
-    double most_parts = 14;
+    double max_stages = 14;
     /// The least room for tokens that an engine is left with, in usual requests (prompt and answer).
-    double least_requests = 16;
+    double min_requests = 16;
     /// The same for a hall that holds the model only beside less room and yet serves more by itself than
     /// through the pipe to another one: the largest requests, three usual ones, must fit still.
-    double least_requests_in_tight_hall = 3;
+    double min_requests_in_small_hall = 3;
     /// The same where a layer has no holder: room goes before a path that isn't there.
-    double least_requests_at_hole = 24;
+    double min_requests_at_coverage_gap = 24;
     /// Layouts without a hole are balanced; see `balance_layout`.
     bool balances = true;
     /// ... once some engine's room is used to this share, from which on new requests are kept away from it.
-    double crowded_share = 0.85;
+    double high_usage_share = 0.85;
 };
 
 /// How long the planner's host has watched the engines; what moves engines that serve needs more of it.
-enum class watch_phase {
+enum class observation_phase {
     begun, ///< the duty is new here: engines may be missing for a moment, or have orders of another host's
     watched, ///< what is missing is known: a hole that no other step closes may move engines
-    at_rest ///< and nothing was ordered, lost or awaited for a while: a crowded layout may be balanced
+    stable ///< and nothing was ordered, lost or awaited for a while: a crowded layout may be balanced
 };
 
 /// What to load next: empty engines get the layers that are covered least in their group. For a layer without
@@ -67,7 +67,7 @@
 /// `split_into_hall_groups`.
 std::vector<placement_step> plan_layers(const engine_profile& profile,
     const std::vector<placeable_engine>& engines, const placement_aim& aim,
-    watch_phase phase = watch_phase::at_rest);
+    observation_phase phase = observation_phase::stable);
 
 /// Number of engines that hold each layer.
 std::vector<unsigned> count_holders(
--- a/src/libs/placement/layoutbalance.cpp
+++ b/src/libs/placement/layoutbalance.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 /// Requests a second below which a layer passes none; keeps the mean finite.
-constexpr double least_rate = 1e-3;
+constexpr double min_rate = 1e-3;
 constexpr double milliseconds_per_second = 1000;
 /// Holders of the first layer from which one may leave: its engine can't be replaced within a running stream.
-constexpr unsigned least_head_holders = 3;
+constexpr unsigned min_first_layer_holders = 3;
 
 /// Part of a layer in the power mean of the rates, whose power is -4: a layer at half of the others' rate
 /// counts 16 times.
 double weigh(double rate)
 {
-    const double square = std::max(rate, least_rate) * std::max(rate, least_rate);
+    const double square = std::max(rate, min_rate) * std::max(rate, min_rate);
     return 1 / (square * square);
 }
 
@@ -43,7 +43,7 @@
         , limits(limits)
         , room(room)
         , engines(engines)
-        , rates(profile, engines, predict_life_ms(profile, engines, room))
+        , rates(profile, engines, predict_residence_ms(profile, engines, room))
         , coverage(profile.layers)
     {
         for (const placeable_engine* engine : engines) {
@@ -55,7 +55,7 @@
     std::vector<placement_step> run()
     {
         std::vector<placement_step> steps;
-        while (steps.size() < this->limits.most_steps) {
+        while (steps.size() < this->limits.max_steps) {
             const option best = this->find_best();
             if (best.engine == nullptr) {
                 break;
@@ -78,9 +78,9 @@
     {
         option best;
         const double overall = this->rates.overall();
-        const bool is_in_need = this->rates.weakest() < this->limits.need_share * this->rates.mean();
+        const bool is_uneven = this->rates.weakest() < this->limits.uneven_share * this->rates.mean();
         best.overall =
-            overall * (1 + (is_in_need ? this->limits.least_gain_in_need : this->limits.least_gain));
+            overall * (1 + (is_uneven ? this->limits.min_gain_when_uneven : this->limits.min_gain));
         for (const placeable_engine* engine : this->engines) {
             if (this->may_move(*engine)) {
                 this->try_spans(*engine, best);
@@ -108,7 +108,7 @@
     void try_relief(const placeable_engine& engine, option& best) const
     {
         const layer_span& own = this->held.at(&engine);
-        const unsigned most = count_layers_beside(this->profile, engine, this->room);
+        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
         for (const placeable_engine* other : this->engines) {
             const layer_span& theirs = this->held.at(other);
             if (other == &engine || !this->may_move(*other)) {
@@ -137,7 +137,7 @@
     void try_takeover(const placeable_engine& engine, option& best) const
     {
         const layer_span& own = this->held.at(&engine);
-        const unsigned most = count_layers_beside(this->profile, engine, this->room);
+        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
         if (own.count() >= most) {
             return;
         }
@@ -183,8 +183,8 @@
     template <typename Visit>
     void visit_spans(const placeable_engine& engine, const Visit& visit) const
     {
-        const unsigned most = count_layers_beside(this->profile, engine, this->room);
-        const auto least = static_cast<unsigned>(std::ceil(most * this->limits.least_filled));
+        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
+        const auto least = static_cast<unsigned>(std::ceil(most * this->limits.min_fill_share));
         for (unsigned size = std::max(least, 1U); size <= most; ++size) {
             for (unsigned begin = 0; begin + size <= this->profile.layers; ++begin) {
                 visit(layer_span{begin, begin + size});
@@ -210,8 +210,8 @@
     [[nodiscard]] bool may_leave(const layer_span& from, const layer_span& to) const
     {
         const bool leaves_head = from.holds(0) && !to.holds(0);
-        return this->coverage.may_lose(from, to)
-            && (!leaves_head || this->coverage.holder_count(0) >= least_head_holders);
+        return this->coverage.keeps_coverage(from, to)
+            && (!leaves_head || this->coverage.holder_count(0) >= min_first_layer_holders);
     }
 
     void apply(const option& chosen)
@@ -237,15 +237,15 @@
 
 } // namespace
 
-layout_rates::layout_rates(const engine_profile& profile, const engine_list& engines, double life_ms)
+layout_rates::layout_rates(const engine_profile& profile, const engine_list& engines, double residence_ms)
     : profile(profile)
-    , life_ms(std::max(life_ms, 1.0))
+    , residence_ms(std::max(residence_ms, 1.0))
     , rates(profile.layers, 0)
 {
     for (const placeable_engine* engine : engines) {
         this->add_rate(engine->held, this->rate_of(*engine, engine->held.count()));
     }
-    this->sum_parts();
+    this->sum_weights();
 }
 
 double layout_rates::rate_of(const placeable_engine& engine, unsigned layers) const
@@ -254,18 +254,20 @@
     if (card == nullptr || layers == 0) {
         return 0;
     }
-    const double room_mb = std::max(0.0, card->memory_mb - layers * this->profile.layer_mb);
-    const double request_mb = usual_tokens(this->profile) * this->profile.token_layer_mb() * layers;
-    const double by_room = room_mb / std::max(request_mb, 1e-9) * milliseconds_per_second / this->life_ms;
+    const double capacity_mb = std::max(0.0, card->memory_mb - layers * this->profile.layer_mb);
+    const double request_mb = usual_request_tokens(this->profile) * this->profile.token_layer_mb() * layers;
+    const double rate_by_capacity =
+        capacity_mb / std::max(request_mb, 1e-9) * milliseconds_per_second / this->residence_ms;
     const double reading_ms = predict_prompt_ms(this->profile, *card) * layers / this->profile.layers;
-    return reading_ms <= 0 ? by_room : std::min(by_room, milliseconds_per_second / reading_ms);
+    return reading_ms <= 0 ? rate_by_capacity
+                           : std::min(rate_by_capacity, milliseconds_per_second / reading_ms);
 }
 
 void layout_rates::move(const placeable_engine& engine, const layer_span& from, const layer_span& to)
 {
     this->add_rate(from, -this->rate_of(engine, from.count()));
     this->add_rate(to, this->rate_of(engine, to.count()));
-    this->sum_parts();
+    this->sum_weights();
 }
 
 void layout_rates::add_rate(const layer_span& span, double rate)
@@ -275,7 +277,7 @@
     }
 }
 
-void layout_rates::sum_parts()
+void layout_rates::sum_weights()
 {
     // Anew each time: a layer that passes nothing has so large a part that all others would be lost in it.
     this->parts = std::accumulate(this->rates.begin(), this->rates.end(), 0.0,
--- a/src/libs/placement/layoutbalance.h
+++ b/src/libs/placement/layoutbalance.h
@@ -13,8 +13,8 @@
 class layout_rates
 {
 public:
-    /// `life_ms`: how long a usual request keeps its room.
-    layout_rates(const engine_profile& profile, const engine_list& engines, double life_ms);
+    /// `residence_ms`: how long a usual request keeps its room.
+    layout_rates(const engine_profile& profile, const engine_list& engines, double residence_ms);
 
     /// Requests a second through the layers together: the weakest ones count by far the most.
     [[nodiscard]] double overall() const;
@@ -32,10 +32,10 @@
     /// Requests a second through each layer of an engine that holds so many.
     [[nodiscard]] double rate_of(const placeable_engine& engine, unsigned layers) const;
     void add_rate(const layer_span& span, double rate);
-    void sum_parts();
+    void sum_weights();
 
     const engine_profile& profile;
-    double life_ms;
+    double residence_ms;
     std::vector<double> rates; ///< of each layer
     double parts = 0; ///< sum of the layers' parts in the mean
 };
@@ -45,16 +45,16 @@
 {
     /// A step must raise the layout's overall rate by this share: each one loads layers, and streams leave
     /// the engine meanwhile.
-    double least_gain = 0.05;
+    double min_gain = 0.05;
     /// ... or by this one while the weakest layer passes less than so much of what the layers pass in the
     /// mean: the way from a layout in need to a good one has small steps.
-    double least_gain_in_need = 0.02;
-    double need_share = 0.5;
+    double min_gain_when_uneven = 0.02;
+    double uneven_share = 0.5;
     /// Steps at once; with those of other groups they run within the loads that take no longer together.
-    unsigned most_steps = 4;
+    unsigned max_steps = 4;
     /// An engine holds at least this share of the layers that it has room for: fewer carry more requests
     /// each, and make paths of more parts.
-    double least_filled = 0.75;
+    double min_fill_share = 0.75;
 };
 
 /// Steps that raise what a whole layout carries, best first: an engine that holds too many layers gives up
--- a/src/libs/placement/layerkeeper.cpp
+++ b/src/libs/placement/placementcontroller.cpp
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 
 #include <algorithm>
 
 namespace sailtiller {
 
-layer_keeper::layer_keeper(
-    layer_keeper_settings settings, layer_keeper_hooks hooks, const upstream_directory& directory)
+placement_controller::placement_controller(placement_controller_settings settings,
+    placement_controller_hooks hooks, const upstream_directory& directory)
     : settings(settings)
     , hooks(std::move(hooks))
     , directory(directory)
 {
 }
 
-void layer_keeper::drop_finished(time_point now)
+void placement_controller::drop_finished(time_point now)
 {
     std::erase_if(this->pending, [this, now](const auto& item) {
         const directory_entry* entry = this->directory.find(item.first);
@@ -22,10 +22,10 @@
         }
         return !item.second.is_awaiting_answer && item.second.expires <= now;
     });
-    std::erase_if(this->left_alone, [now](const auto& item) { return item.second <= now; });
+    std::erase_if(this->backoff_until, [now](const auto& item) { return item.second <= now; });
 }
 
-std::set<upstream_id> layer_keeper::list_dead(const service_id& service) const
+std::set<upstream_id> placement_controller::list_dead(const service_id& service) const
 {
     std::set<upstream_id> dead;
     std::size_t count = 0;
@@ -38,11 +38,11 @@
             dead.insert(id);
         }
     }
-    const double most = this->settings.most_dead_share * static_cast<double>(count);
+    const double most = this->settings.max_dead_share * static_cast<double>(count);
     return static_cast<double>(dead.size()) > most ? std::set<upstream_id>() : dead;
 }
 
-layer_keeper::engine_view layer_keeper::list_engines(
+placement_controller::engine_view placement_controller::list_engines(
     const engine_profile& profile, const service_id& service, time_point now)
 {
     engine_view view;
@@ -50,15 +50,15 @@
     for (const auto& [id, entry] : this->directory.entries()) {
         const discovered_upstream& upstream = entry.upstream;
         if (upstream.service != service || upstream.is_leaving) {
-            this->lately_seen.erase(upstream.address);
+            this->recently_seen.erase(upstream.address);
             continue;
         }
         if (entry.is_lapsed || dead.count(id) != 0
             || profile.find_card(upstream.card, upstream.held.end) == nullptr) {
             continue;
         }
-        const auto alone = this->left_alone.find(id);
-        if (upstream.held.is_empty() && alone != this->left_alone.end() && alone->second > now) {
+        const auto alone = this->backoff_until.find(id);
+        if (upstream.held.is_empty() && alone != this->backoff_until.end() && alone->second > now) {
             continue;
         }
         const auto ordered = this->pending.find(id);
@@ -69,17 +69,17 @@
             .card = upstream.card,
             .held = is_ordered ? ordered->second.order.span : upstream.held,
             .is_loading = is_ordered});
-        this->lately_seen[upstream.address] = {view.engines.back(), now};
+        this->recently_seen[upstream.address] = {view.engines.back(), now};
     }
     return view;
 }
 
-std::vector<placeable_engine> layer_keeper::list_absent(time_point now)
+std::vector<placeable_engine> placement_controller::list_absent(time_point now)
 {
-    std::erase_if(this->lately_seen,
-        [this, now](const auto& item) { return now - item.second.at >= this->settings.return_time; });
+    std::erase_if(this->recently_seen,
+        [this, now](const auto& item) { return now - item.second.at >= this->settings.return_grace_period; });
     std::vector<placeable_engine> absent;
-    for (const auto& [address, seen] : this->lately_seen) {
+    for (const auto& [address, seen] : this->recently_seen) {
         if (seen.at == now) {
             continue;
         }
@@ -90,7 +90,7 @@
     return absent;
 }
 
-bool layer_keeper::must_wait(const engine_view& view, time_point now)
+bool placement_controller::must_wait_for_discovery(const engine_view& view, time_point now)
 {
     if (view.engines.size() > this->engines_seen) {
         this->last_appeared = now;
@@ -100,24 +100,26 @@
     if (!view.is_fresh || !this->first_seen) {
         return view.engines.empty();
     }
-    const bool is_quiet = now - this->last_appeared >= this->settings.quiet_start;
-    return !is_quiet && now - *this->first_seen < this->settings.longest_start;
+    const bool is_quiet = now - this->last_appeared >= this->settings.discovery_settle_time;
+    return !is_quiet && now - *this->first_seen < this->settings.max_discovery_time;
 }
 
-watch_phase layer_keeper::judge_phase(const std::vector<placeable_engine>& absent, time_point now)
+observation_phase placement_controller::determine_phase(
+    const std::vector<placeable_engine>& absent, time_point now)
 {
     this->duty_since = this->duty_since.value_or(now);
     if (!this->pending.empty() || !absent.empty()) {
-        this->last_unrest = now;
+        this->last_activity = now;
     }
-    if (now - *this->duty_since < this->settings.balance_pause) {
-        return watch_phase::begun;
+    if (now - *this->duty_since < this->settings.stabilization_window) {
+        return observation_phase::begun;
     }
-    return now - this->last_unrest < this->settings.balance_pause ? watch_phase::watched
-                                                                  : watch_phase::at_rest;
+    return now - this->last_activity < this->settings.stabilization_window ? observation_phase::watched
+                                                                           : observation_phase::stable;
 }
 
-void layer_keeper::note_use(const engine_profile& profile, std::vector<placeable_engine>& engines) const
+void placement_controller::update_used_shares(
+    const engine_profile& profile, std::vector<placeable_engine>& engines) const
 {
     for (placeable_engine& engine : engines) {
         const directory_entry* entry = this->directory.find(engine.id);
@@ -127,45 +129,46 @@
     }
 }
 
-void layer_keeper::look(const engine_profile& profile, const service_id& service)
+void placement_controller::reconcile(const engine_profile& profile, const service_id& service)
 {
     const time_point now = this->hooks.timers.now();
     this->drop_finished(now);
     const std::optional<fencing_token> token = this->hooks.token();
     const engine_view view = this->list_engines(profile, service, now);
-    if (this->must_wait(view, now) || !token) {
+    if (this->must_wait_for_discovery(view, now) || !token) {
         this->duty_since.reset();
         return;
     }
-    this->repeat_unanswered(*token, now);
+    this->resend_unanswered(*token, now);
     const std::vector<placeable_engine> absent = this->list_absent(now);
-    const watch_phase phase = this->judge_phase(absent, now);
+    const observation_phase phase = this->determine_phase(absent, now);
     std::vector<placeable_engine> engines = view.engines;
     engines.insert(engines.end(), absent.begin(), absent.end());
-    if (phase == watch_phase::at_rest) {
-        this->last_unrest = now; // a search for better layouts takes long on large deployments
-        this->note_use(profile, engines);
+    if (phase == observation_phase::stable) {
+        this->last_activity = now; // a search for better layouts takes long on large deployments
+        this->update_used_shares(profile, engines);
     }
     std::vector<placement_step> steps = plan_layers(profile, engines, this->settings.aim, phase);
     std::stable_partition(
-        steps.begin(), steps.end(), [](const placement_step& step) { return step.closes_hole; });
+        steps.begin(), steps.end(), [](const placement_step& step) { return step.closes_coverage_gap; });
     for (const placement_step& step : steps) {
-        if (this->pending.count(step.id) == 0 && this->may_load(profile, step)) {
+        if (this->pending.count(step.id) == 0 && this->may_start_load(profile, step)) {
             this->give(profile, step, *token);
         }
     }
 }
 
-bool layer_keeper::may_load(const engine_profile& profile, const placement_step& step) const
+bool placement_controller::may_start_load(const engine_profile& profile, const placement_step& step) const
 {
-    if (step.closes_hole || profile.loads_at_once == 0 || this->pending.size() < profile.loads_at_once) {
+    if (step.closes_coverage_gap || profile.loads_at_once == 0
+        || this->pending.size() < profile.loads_at_once) {
         return true;
     }
-    return std::none_of(
-        this->pending.begin(), this->pending.end(), [](const auto& item) { return item.second.closes_hole; });
+    return std::none_of(this->pending.begin(), this->pending.end(),
+        [](const auto& item) { return item.second.closes_coverage_gap; });
 }
 
-std::vector<upstream_id> layer_keeper::engines_ordered() const
+std::vector<upstream_id> placement_controller::engines_with_pending_orders() const
 {
     std::vector<upstream_id> ids;
     for (const auto& [id, item] : this->pending) {
@@ -174,17 +177,18 @@
     return ids;
 }
 
-void layer_keeper::repeat_unanswered(fencing_token token, time_point now)
+void placement_controller::resend_unanswered(fencing_token token, time_point now)
 {
     for (auto& [id, item] : this->pending) {
-        if (!item.is_begun && !item.is_awaiting_answer && now - item.since >= this->settings.repeat_pause) {
+        if (!item.is_begun && !item.is_awaiting_answer
+            && now - item.since >= this->settings.resend_interval) {
             item.order.token = token;
             this->send(item);
         }
     }
 }
 
-duration layer_keeper::predict_load(const engine_profile& profile, const layer_span& span) const
+duration placement_controller::predict_load(const engine_profile& profile, const layer_span& span) const
 {
     const double share = profile.layers == 0 ? 1 : static_cast<double>(span.count()) / profile.layers;
     const double crowd = profile.loads_at_once == 0
@@ -194,7 +198,8 @@
     return duration(static_cast<duration::rep>(profile.load_seconds * share * crowd * microseconds));
 }
 
-void layer_keeper::give(const engine_profile& profile, const placement_step& step, fencing_token token)
+void placement_controller::give(
+    const engine_profile& profile, const placement_step& step, fencing_token token)
 {
     const directory_entry* entry = this->directory.find(step.id);
     if (entry == nullptr) {
@@ -203,12 +208,12 @@
     const time_point now = this->hooks.timers.now();
     pending_order& item = this->pending[step.id];
     item.order = {step.id, entry->upstream.address, step.span, token, std::nullopt, false};
-    item.closes_hole = step.closes_hole;
+    item.closes_coverage_gap = step.closes_coverage_gap;
     item.expires = now + this->predict_load(profile, step.span) + this->settings.load_slack;
     this->send(item);
 }
 
-void layer_keeper::send(pending_order& item)
+void placement_controller::send(pending_order& item)
 {
     item.since = this->hooks.timers.now();
     item.is_awaiting_answer = true;
@@ -218,11 +223,11 @@
         if (result == order_result::fenced) {
             this->hooks.on_fenced(order.token);
         }
-        this->take_result(order.id, order.span, result);
+        this->handle_result(order.id, order.span, result);
     });
 }
 
-void layer_keeper::take_result(const upstream_id& id, const layer_span& span, order_result result)
+void placement_controller::handle_result(const upstream_id& id, const layer_span& span, order_result result)
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end() || found->second.order.span != span) {
@@ -238,7 +243,7 @@
         return; // it may have been begun; the same order is sent again
     }
     this->pending.erase(found);
-    this->left_alone[id] = this->hooks.timers.now() + this->settings.refusal_pause;
+    this->backoff_until[id] = this->hooks.timers.now() + this->settings.refusal_backoff;
 }
 
 } // namespace sailtiller
--- a/tests/auto/delivery/deliverybed.cpp
+++ b/tests/auto/delivery/deliverybed.cpp
@@ -52,14 +52,14 @@
 
 delivery_bed::delivery_bed()
 {
-    stall_watch_hooks hooks;
+    stall_detector_hooks hooks;
     hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
     hooks.probe = [this](const upstream_id& id, const std::function<void(std::optional<double>)>&) {
         this->probed.push_back(id.value());
     };
     hooks.find_other = [](const upstream_id&) { return std::nullopt; };
-    hooks.is_watcher = [](const upstream_id&) { return true; };
-    this->watch = std::make_unique<stall_watch>(stall_watch_settings{}, hooks);
+    hooks.is_assigned_prober = [](const upstream_id&) { return true; };
+    this->watch = std::make_unique<stall_detector>(stall_detector_settings{}, hooks);
     this->bundle->pools.push_back({service_id("llm"), "", 0, make_sample_profile()});
     this->bundle->pools.push_back({service_id("plain"), "", 0, std::nullopt});
     this->bundle->build_index();
--- a/tests/auto/delivery/deliverybed.h
+++ b/tests/auto/delivery/deliverybed.h
@@ -75,7 +75,7 @@
     /// Trials that were asked for, with the way to answer.
     std::vector<std::pair<request_content, std::function<void(bool)>>> claims;
     std::vector<std::string> probed;
-    std::unique_ptr<stall_watch> watch;
+    std::unique_ptr<stall_detector> watch;
     std::unique_ptr<delivery_context> context;
     std::vector<std::shared_ptr<fake_send>> sends;
     std::vector<path_change> changes;
--- a/tests/auto/health/tst_stallwatch.cpp
+++ b/tests/auto/health/tst_stalldetector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <health/stallwatch.h>
+#include <health/stalldetector.h>
 
 #include <gtest/gtest.h>
 
@@ -20,37 +20,37 @@
     return {.reading = 30ms, .token = 2ms, .first_objective = 500ms, .longest_pause = 250ms};
 }
 
-class stall_watch_test : public testing::Test
+class stall_detector_test : public testing::Test
 {
 protected:
-    stall_watch_test()
+    stall_detector_test()
     {
-        stall_watch_hooks hooks;
+        stall_detector_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.probe = [this](const upstream_id& id, std::function<void(std::optional<double>)> on_answer) {
             this->probed.push_back(id.value());
             this->answers[id.value()] = std::move(on_answer);
         };
         hooks.find_other = [this](const upstream_id&) { return this->other; };
-        hooks.is_watcher = [](const upstream_id&) { return true; };
+        hooks.is_assigned_prober = [](const upstream_id&) { return true; };
         hooks.on_dead = [this](const std::vector<upstream_id>& ids) {
             for (const upstream_id& id : ids) {
                 this->dead.push_back(id.value());
             }
         };
         hooks.on_alive = [this](const upstream_id& id, double pace) { this->paces[id.value()] = pace; };
-        this->watch = std::make_unique<stall_watch>(stall_watch_settings{}, hooks);
+        this->watch = std::make_unique<stall_detector>(stall_detector_settings{}, hooks);
         this->watch->start();
     }
 
     /// Time passes in the watch's own steps; the named streams get an event at each `gap`.
-    void pass(duration time, const std::vector<stall_watch::stream_key>& moving = {}, duration gap = 20ms)
+    void pass(duration time, const std::vector<stall_detector::stream_key>& moving = {}, duration gap = 20ms)
     {
         const time_point end = this->now + time;
         while (this->now < end) {
             this->now += 10ms;
             if ((this->now - time_point{100s}) % gap == 0ms) {
-                for (const stall_watch::stream_key key : moving) {
+                for (const stall_detector::stream_key key : moving) {
                     this->watch->note_progress(key);
                 }
             }
@@ -59,8 +59,8 @@
     }
 
     /// Adds a stream and lets it have events until its gaps are known, as the other named ones have.
-    stall_watch::stream_key add_moving(std::initializer_list<const char*> names, duration gap = 20ms,
-        std::vector<stall_watch::stream_key> moving = {})
+    stall_detector::stream_key add_moving(std::initializer_list<const char*> names, duration gap = 20ms,
+        std::vector<stall_detector::stream_key> moving = {})
     {
         moving.push_back(this->watch->add(parts(names), usual_path()));
         this->pass(1s, moving, gap);
@@ -68,7 +68,7 @@
     }
 
     /// How long the stream may be silent before something is probed.
-    duration find_patience()
+    duration silence_until_probe()
     {
         const time_point start = this->now;
         while (this->probed.empty() && this->now - start < 1s) {
@@ -84,10 +84,10 @@
     std::vector<std::string> dead;
     std::map<std::string, double> paces;
     std::optional<upstream_id> other{"elsewhere"};
-    std::unique_ptr<stall_watch> watch;
+    std::unique_ptr<stall_detector> watch;
 };
 
-TEST_F(stall_watch_test, only_what_no_moving_stream_passes_is_suspected)
+TEST_F(stall_detector_test, only_what_no_moving_stream_passes_is_suspected)
 {
     const auto first = this->watch->add(parts({"head", "shared", "broken"}), usual_path());
     const auto second = this->watch->add(parts({"head", "shared", "sound"}), usual_path());
@@ -96,23 +96,23 @@
     EXPECT_EQ(this->probed, std::vector<std::string>{"broken"});
 }
 
-TEST_F(stall_watch_test, patience_follows_from_the_gaps_that_were_seen)
+TEST_F(stall_detector_test, patience_follows_from_the_gaps_that_were_seen)
 {
     this->add_moving({"a"}, 20ms);
-    const duration fast = this->find_patience();
+    const duration fast = this->silence_until_probe();
     EXPECT_LE(fast, 60ms);
     EXPECT_GE(fast, 30ms);
 }
 
-TEST_F(stall_watch_test, engines_that_give_an_event_every_hundred_milliseconds_are_no_suspects)
+TEST_F(stall_detector_test, engines_that_give_an_event_every_hundred_milliseconds_are_no_suspects)
 {
     const auto key = this->add_moving({"a"}, 100ms);
     this->pass(20s, {key}, 100ms);
     EXPECT_TRUE(this->probed.empty());
-    EXPECT_LE(this->find_patience(), 160ms) << "half of a usual gap more";
+    EXPECT_LE(this->silence_until_probe(), 160ms) << "half of a usual gap more";
 }
 
-TEST_F(stall_watch_test, jittery_gaps_are_waited_for)
+TEST_F(stall_detector_test, jittery_gaps_are_waited_for)
 {
     const auto key = this->watch->add(parts({"a"}), usual_path());
     for (int turn = 0; turn < 100; ++turn) {
@@ -122,7 +122,7 @@
     EXPECT_TRUE(this->probed.empty());
 }
 
-TEST_F(stall_watch_test, what_one_path_showed_holds_for_the_first_gap_on_another)
+TEST_F(stall_detector_test, what_one_path_showed_holds_for_the_first_gap_on_another)
 {
     const auto first = this->add_moving({"a"}, 20ms); // ten times the time of a token
     stream_expectation slower = usual_path();
@@ -136,10 +136,10 @@
     EXPECT_EQ(this->probed, std::vector<std::string>{"b"});
 }
 
-TEST_F(stall_watch_test, several_streams_that_are_silent_together_are_believed_sooner)
+TEST_F(stall_detector_test, several_streams_that_are_silent_together_are_believed_sooner)
 {
     // Gaps of 20 and 60 ms by turns: one of them alone is waited for much longer.
-    std::vector<stall_watch::stream_key> keys;
+    std::vector<stall_detector::stream_key> keys;
     keys.reserve(3);
     for (int count = 0; count < 3; ++count) {
         keys.push_back(this->watch->add(parts({"a"}), usual_path()));
@@ -153,17 +153,17 @@
         }
     };
     move_all();
-    const duration together = this->find_patience();
+    const duration together = this->silence_until_probe();
     this->answers["a"](1.0);
     this->watch->remove(keys.back());
     keys.pop_back();
     this->pass(1s, keys, 60ms); // it was asked a moment ago
     move_all();
     this->probed.clear();
-    EXPECT_LT(together, this->find_patience());
+    EXPECT_LT(together, this->silence_until_probe());
 }
 
-TEST_F(stall_watch_test, a_suspect_that_gives_no_answer_is_dead_while_others_live)
+TEST_F(stall_detector_test, a_suspect_that_gives_no_answer_is_dead_while_others_live)
 {
     const auto sound = this->add_moving({"b"});
     const auto silent = this->watch->add(parts({"a"}), usual_path());
@@ -176,7 +176,7 @@
     EXPECT_TRUE(this->watch->is_dead(upstream_id("a")));
 }
 
-TEST_F(stall_watch_test, a_host_that_hears_nobody_condemns_nobody)
+TEST_F(stall_detector_test, a_host_that_hears_nobody_condemns_nobody)
 {
     const auto first = this->add_moving({"a", "b"});
     this->add_moving({"c", "d"}, 20ms, {first});
@@ -185,7 +185,7 @@
     EXPECT_TRUE(this->dead.empty());
 }
 
-TEST_F(stall_watch_test, a_stall_on_a_path_that_moves_for_others_is_looked_for_in_all_its_parts)
+TEST_F(stall_detector_test, a_stall_on_a_path_that_moves_for_others_is_looked_for_in_all_its_parts)
 {
     const auto slow = this->watch->add(parts({"a", "b"}), usual_path());
     const auto quick = this->watch->add(parts({"a", "b"}), usual_path());
@@ -199,22 +199,22 @@
     EXPECT_EQ(this->probed.size(), 2U) << "each has answered a moment ago";
 }
 
-TEST_F(stall_watch_test, tells_whether_streams_moved_over_an_upstream_lately)
+TEST_F(stall_detector_test, tells_whether_streams_moved_over_an_upstream_lately)
 {
     const auto key = this->watch->add(parts({"a", "b"}), usual_path());
-    EXPECT_FALSE(this->watch->has_moved(upstream_id("a"), this->now));
-    EXPECT_FALSE(this->watch->is_moving(upstream_id("a")));
+    EXPECT_FALSE(this->watch->has_progressed(upstream_id("a"), this->now));
+    EXPECT_FALSE(this->watch->is_progressing(upstream_id("a")));
     this->pass(40ms, {key});
-    EXPECT_TRUE(this->watch->has_moved(upstream_id("b"), this->now - 20ms));
-    EXPECT_TRUE(this->watch->is_moving(upstream_id("b")));
-    EXPECT_FALSE(this->watch->has_moved(upstream_id("c"), this->now - 20ms));
-    EXPECT_FALSE(this->watch->is_moving(upstream_id("c")));
+    EXPECT_TRUE(this->watch->has_progressed(upstream_id("b"), this->now - 20ms));
+    EXPECT_TRUE(this->watch->is_progressing(upstream_id("b")));
+    EXPECT_FALSE(this->watch->has_progressed(upstream_id("c"), this->now - 20ms));
+    EXPECT_FALSE(this->watch->is_progressing(upstream_id("c")));
     this->pass(300ms);
-    EXPECT_FALSE(this->watch->has_moved(upstream_id("b"), this->now - 40ms));
-    EXPECT_FALSE(this->watch->is_moving(upstream_id("b")));
+    EXPECT_FALSE(this->watch->has_progressed(upstream_id("b"), this->now - 40ms));
+    EXPECT_FALSE(this->watch->is_progressing(upstream_id("b")));
 }
 
-TEST_F(stall_watch_test, a_stream_is_not_suspicious_before_its_first_event_is_due)
+TEST_F(stall_detector_test, a_stream_is_not_suspicious_before_its_first_event_is_due)
 {
     stream_expectation long_prompt = usual_path();
     long_prompt.reading = 300ms;
@@ -225,7 +225,7 @@
     EXPECT_EQ(this->probed.front(), "a");
 }
 
-TEST_F(stall_watch_test, a_first_event_is_due_as_soon_as_others_had_theirs)
+TEST_F(stall_detector_test, a_first_event_is_due_as_soon_as_others_had_theirs)
 {
     for (int count = 0; count < 20; ++count) {
         const auto key = this->watch->add(parts({"a"}), usual_path());
@@ -241,7 +241,7 @@
     EXPECT_EQ(this->probed.front(), "a");
 }
 
-TEST_F(stall_watch_test, a_stream_that_was_just_sent_proves_nothing_about_its_path)
+TEST_F(stall_detector_test, a_stream_that_was_just_sent_proves_nothing_about_its_path)
 {
     const auto first = this->watch->add(parts({"a", "b"}), usual_path());
     this->pass(400ms, {first});
@@ -251,7 +251,7 @@
     EXPECT_EQ(this->probed.size(), 2U);
 }
 
-TEST_F(stall_watch_test, a_pause_of_the_process_itself_condemns_nobody)
+TEST_F(stall_detector_test, a_pause_of_the_process_itself_condemns_nobody)
 {
     const auto first = this->add_moving({"a"});
     this->now += 3s;
@@ -264,7 +264,7 @@
     this->watch->remove(first);
 }
 
-TEST_F(stall_watch_test, a_host_whose_loop_stands_still_time_and_again_probes_nothing)
+TEST_F(stall_detector_test, a_host_whose_loop_stands_still_time_and_again_probes_nothing)
 {
     const auto key = this->add_moving({"a"});
     // Its share of a processor lasts for 10 ms of each 100, in which it also reads what came meanwhile.
@@ -278,7 +278,7 @@
     EXPECT_TRUE(this->dead.empty());
 }
 
-TEST_F(stall_watch_test, a_changed_path_and_a_finished_stream_are_not_suspicious)
+TEST_F(stall_detector_test, a_changed_path_and_a_finished_stream_are_not_suspicious)
 {
     const auto first = this->add_moving({"a"});
     const auto second = this->add_moving({"b"}, 20ms, {first});
@@ -290,7 +290,7 @@
     EXPECT_TRUE(this->probed.empty());
 }
 
-TEST_F(stall_watch_test, the_gap_across_a_change_of_path_is_no_usual_one)
+TEST_F(stall_detector_test, the_gap_across_a_change_of_path_is_no_usual_one)
 {
     const auto key = this->add_moving({"a"});
     this->watch->change_path(key, parts({"b"}), usual_path());
@@ -298,7 +298,7 @@
     this->probed.clear();
     this->pass(1s, {key});
     this->probed.clear();
-    EXPECT_LE(this->find_patience(), 60ms);
+    EXPECT_LE(this->silence_until_probe(), 60ms);
 }
 
 } // namespace
--- a/tests/auto/health/tst_upstreamprobes.cpp
+++ b/tests/auto/health/tst_upstreamprobes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <health/tolddeaths.h>
+#include <health/reporteddeaths.h>
 #include <health/upstreamprobes.h>
 
 #include <gtest/gtest.h>
@@ -25,9 +25,12 @@
             this->answers[id.value()] = std::move(on_answer);
         };
         hooks.find_other = [this](const upstream_id&) { return this->other; };
-        hooks.has_moved = [this](const upstream_id& id, time_point) { return this->moved == id.value(); };
-        hooks.has_other_moved = [this](const upstream_id&, time_point) { return this->has_other_moved; };
-        hooks.is_watcher = [this](const upstream_id&) { return this->is_watcher; };
+        hooks.has_progressed = [this](
+                                   const upstream_id& id, time_point) { return this->moved == id.value(); };
+        hooks.has_other_progressed = [this](const upstream_id&, time_point) {
+            return this->has_other_progressed;
+        };
+        hooks.is_assigned_prober = [this](const upstream_id&) { return this->is_assigned_prober; };
         hooks.on_dead = [this](const std::vector<upstream_id>& ids) {
             for (const upstream_id& id : ids) {
                 this->dead.push_back(id.value());
@@ -69,8 +72,8 @@
     std::vector<std::string> dead;
     std::map<std::string, double> paces;
     std::string moved;
-    bool has_other_moved = true;
-    bool is_watcher = true;
+    bool has_other_progressed = true;
+    bool is_assigned_prober = true;
     std::optional<upstream_id> other{"elsewhere"};
     std::unique_ptr<upstream_probes> probes;
     std::vector<std::vector<upstream_id>> told; ///< the verdicts, as they came together
@@ -108,7 +111,7 @@
 
 TEST_F(upstream_probes_test, without_a_sign_of_life_from_others_there_is_no_verdict)
 {
-    this->has_other_moved = false;
+    this->has_other_progressed = false;
     this->probes->ask(a);
     this->pass(2s);
     EXPECT_TRUE(this->dead.empty()) << "this host hears nobody";
@@ -118,7 +121,7 @@
 
 TEST_F(upstream_probes_test, an_answer_of_another_one_is_the_second_sign)
 {
-    this->has_other_moved = false;
+    this->has_other_progressed = false;
     this->probes->ask(a);
     this->pass(40ms);
     ASSERT_EQ(this->sent, (std::vector<std::string>{"a", "elsewhere"}));
@@ -129,7 +132,7 @@
 
 TEST_F(upstream_probes_test, the_only_upstream_there_is_can_be_found_dead)
 {
-    this->has_other_moved = false;
+    this->has_other_progressed = false;
     this->other.reset();
     this->probes->ask(a);
     this->pass(300ms);
@@ -148,7 +151,7 @@
 {
     this->probes->ask(a);
     this->now += 5s;
-    this->probes->forgive(5s);
+    this->probes->extend_deadlines(5s);
     this->probes->look();
     EXPECT_TRUE(this->dead.empty());
     this->pass(40ms);
@@ -186,11 +189,11 @@
 
 TEST_F(upstream_probes_test, a_host_that_does_not_watch_it_leaves_that_to_others)
 {
-    this->is_watcher = false;
+    this->is_assigned_prober = false;
     this->probes->ask(a);
     this->pass(1s);
     EXPECT_TRUE(this->probes->is_dead(a));
-    this->probes->note_told_dead(a);
+    this->probes->note_reported_dead(a);
     this->pass(1s);
     EXPECT_TRUE(this->probes->is_dead(a)) << "they tell that it is dead still";
     this->pass(1s);
@@ -200,10 +203,10 @@
 
 TEST_F(upstream_probes_test, a_watcher_asks_what_others_found_dead)
 {
-    this->probes->note_told_dead(a);
+    this->probes->note_reported_dead(a);
     EXPECT_EQ(this->sent, std::vector<std::string>{"a"});
-    this->is_watcher = false;
-    this->probes->note_told_dead(upstream_id("b"));
+    this->is_assigned_prober = false;
+    this->probes->note_reported_dead(upstream_id("b"));
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
@@ -212,9 +215,9 @@
     this->probes->ask(a);
     const time_point asked = this->now;
     this->pass(50ms);
-    this->probes->note_told_alive(a, 1.0, asked);
+    this->probes->note_reported_alive(a, 1.0, asked);
     EXPECT_TRUE(this->probes->is_dead(a));
-    this->probes->note_told_alive(a, 3.0, this->now + 1ms);
+    this->probes->note_reported_alive(a, 3.0, this->now + 1ms);
     EXPECT_FALSE(this->probes->is_dead(a));
     EXPECT_EQ(this->paces["a"], 3.0);
     EXPECT_FALSE(this->probes->ask(a)) << "it has answered another host a moment ago";
@@ -266,9 +269,9 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST(told_deaths, two_hosts_must_say_it_where_there_are_as_many)
+TEST(reported_deaths, two_hosts_must_say_it_where_there_are_as_many)
 {
-    told_deaths told;
+    reported_deaths told;
     const time_point now{100s};
     EXPECT_TRUE(told.note(a, host_id("x"), now + 1s, now).has_value()) << "hardly anybody else is there";
     told.clear(a);
--- a/tests/auto/placement/tst_hallgroups.cpp
+++ b/tests/auto/placement/tst_hallgroups.cpp
@@ -81,7 +81,7 @@
     using groups = std::vector<std::set<std::string>>;
 
     engine_profile profile = make_sample_profile();
-    placement_aim aim{.copies = 1.25, .least_requests = 30, .least_requests_at_hole = 30};
+    placement_aim aim{.copies = 1.25, .min_requests = 30, .min_requests_at_coverage_gap = 30};
     std::vector<placeable_engine> engines;
 };
 
@@ -187,10 +187,10 @@
     // 80 tokens of 10,000 B each through seven tenths of 1,000 Mbit/s.
     EXPECT_NEAR(predict_group_rate(profile, group, 2), 0.7 * 1e9 / (80 * 10'000 * 8), 0.1);
     // 25 requests at once, each 0.8 ms of reading and 20 tokens of 1 ms and two hops of 0.3 ms.
-    const double by_room = 25 / 0.0328;
-    EXPECT_NEAR(predict_group_rate(profile, group, 1), by_room, by_room / 100);
+    const double rate_by_capacity = 25 / 0.0328;
+    EXPECT_NEAR(predict_group_rate(profile, group, 1), rate_by_capacity, rate_by_capacity / 100);
     profile.request_slots = 5;
-    EXPECT_NEAR(predict_group_rate(profile, group, 1), by_room / 5, by_room / 100);
+    EXPECT_NEAR(predict_group_rate(profile, group, 1), rate_by_capacity / 5, rate_by_capacity / 100);
     profile.prompt_tokens_per_s = 1000; // each half of the layers reads for 40 ms
     profile.request_slots = 0;
     EXPECT_NEAR(predict_group_rate(profile, group, 1), 25, 0.1);
--- a/tests/auto/placement/tst_layerplan.cpp
+++ b/tests/auto/placement/tst_layerplan.cpp
@@ -46,7 +46,7 @@
     }
 
     engine_profile profile = make_sample_profile();
-    placement_aim aim{.copies = 1.25, .least_requests = 2, .least_requests_at_hole = 1};
+    placement_aim aim{.copies = 1.25, .min_requests = 2, .min_requests_at_coverage_gap = 1};
     std::vector<placement_step> steps;
 };
 
@@ -74,7 +74,7 @@
         make_engine("b", "x", "big"), make_engine("c", "x", "small"), make_engine("d", "x", "small")});
     for (const placeable_engine& engine : engines) {
         const card_kind& card = this->profile.kinds.at(engine.card);
-        const double room = this->aim.least_requests * 100 * this->profile.token_layer_mb();
+        const double room = this->aim.min_requests * 100 * this->profile.token_layer_mb();
         EXPECT_LE(engine.held.count() * (this->profile.layer_mb + room), card.memory_mb) << engine.id;
     }
 }
@@ -170,7 +170,7 @@
     for (int number = 0; number < count; ++number) {
         engines.push_back(make_engine(std::to_string(number), "x", "big"));
     }
-    this->aim.most_parts = 4;
+    this->aim.max_stages = 4;
     for (const placeable_engine& engine : this->plan(engines)) {
         EXPECT_GE(engine.held.count(), 4U);
     }
@@ -215,7 +215,7 @@
 // the other.
 TEST_F(layer_plan_test, engines_that_come_back_one_by_one_hold_every_layer_again)
 {
-    this->aim.least_requests = 30;
+    this->aim.min_requests = 30;
     std::vector<placeable_engine> engines{
         make_engine("a", "x", "big"), make_engine("b", "x", "small"), make_engine("c", "x", "small")};
     engines = this->plan(engines);
--- a/tests/auto/placement/tst_layoutbalance.cpp
+++ b/tests/auto/placement/tst_layoutbalance.cpp
@@ -65,10 +65,10 @@
 
     [[nodiscard]] double weakest() const
     {
-        return layout_rates(this->profile, this->list(), life_ms).weakest();
+        return layout_rates(this->profile, this->list(), residence_ms).weakest();
     }
 
-    static constexpr double life_ms = 1000;
+    static constexpr double residence_ms = 1000;
     engine_profile profile = tests::make_sample_profile();
     double room = 2; // tokens
     balance_limits limits;
@@ -78,11 +78,11 @@
 TEST_F(layout_balance_test, a_layer_passes_what_its_holders_pass_together)
 {
     this->add("a", "big", {0, 8});
-    const double one =
-        layout_rates(this->profile, this->list(), life_ms).overall_after(this->engines[0], {0, 8}, {0, 8});
+    const double one = layout_rates(this->profile, this->list(), residence_ms)
+                           .overall_after(this->engines[0], {0, 8}, {0, 8});
     this->add("b", "big", {0, 8});
     this->profile.layers = 8;
-    const layout_rates rates(this->profile, this->list(), life_ms);
+    const layout_rates rates(this->profile, this->list(), residence_ms);
     EXPECT_NEAR(rates.weakest(), rates.overall(), 1e-9);
     EXPECT_GT(rates.weakest(), one);
     EXPECT_GT(rates.overall_after(this->engines[1], {0, 8}, {0, 4}), 0);
--- a/tests/auto/placement/tst_layerkeeper.cpp
+++ b/tests/auto/placement/tst_placementcontroller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 #include <support/sampleprofile.h>
 
 #include <gtest/gtest.h>
@@ -10,17 +10,18 @@
 
 using namespace std::chrono_literals;
 
-class layer_keeper_test : public testing::Test
+class placement_controller_test : public testing::Test
 {
 protected:
-    layer_keeper_test()
+    placement_controller_test()
     {
-        this->keeper = std::make_unique<layer_keeper>(this->settings, this->make_hooks(), this->directory);
+        this->keeper =
+            std::make_unique<placement_controller>(this->settings, this->make_hooks(), this->directory);
     }
 
-    layer_keeper_hooks make_hooks()
+    placement_controller_hooks make_hooks()
     {
-        layer_keeper_hooks hooks;
+        placement_controller_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.send = [this](const layer_order& order, std::function<void(order_result)> on_result) {
             this->sent.push_back(order);
@@ -60,7 +61,7 @@
     {
         this->now += later;
         this->timers.run_due(this->now);
-        this->keeper->look(this->profile, service_id("llm"));
+        this->keeper->reconcile(this->profile, service_id("llm"));
     }
 
     void answer_all(order_result result)
@@ -76,17 +77,17 @@
     timer_queue timers;
     upstream_directory directory{2s};
     engine_profile profile = tests::make_sample_profile();
-    layer_keeper_settings settings;
+    placement_controller_settings settings;
     std::optional<fencing_token> token = fencing_token(7);
     fencing_token refused;
     std::set<upstream_id> dead;
     double used = 0; ///< share of each engine's room
     std::vector<layer_order> sent;
     std::vector<std::function<void(order_result)>> answers;
-    std::unique_ptr<layer_keeper> keeper;
+    std::unique_ptr<placement_controller> keeper;
 };
 
-TEST_F(layer_keeper_test, a_fresh_site_is_placed_once_no_more_engines_appear)
+TEST_F(placement_controller_test, a_fresh_site_is_placed_once_no_more_engines_appear)
 {
     this->put("a");
     this->look();
@@ -100,7 +101,7 @@
     EXPECT_FALSE(this->sent[0].expected_orders.has_value());
 }
 
-TEST_F(layer_keeper_test, a_host_without_the_duty_gives_no_orders)
+TEST_F(placement_controller_test, a_host_without_the_duty_gives_no_orders)
 {
     this->token.reset();
     this->put("a");
@@ -109,7 +110,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_new_owner_takes_what_is_held_as_it_is)
+TEST_F(placement_controller_test, a_new_owner_takes_what_is_held_as_it_is)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -118,7 +119,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_crowded_layout_is_balanced_once_it_has_been_at_rest)
+TEST_F(placement_controller_test, a_crowded_layout_is_balanced_once_it_has_been_at_rest)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -134,7 +135,7 @@
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_new_owner_of_the_duty_balances_nothing_before_it_has_seen_a_rest)
+TEST_F(placement_controller_test, a_new_owner_of_the_duty_balances_nothing_before_it_has_seen_a_rest)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -152,7 +153,7 @@
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_refused_token_is_not_used_again)
+TEST_F(placement_controller_test, a_refused_token_is_not_used_again)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -164,7 +165,7 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(layer_keeper_test, an_order_without_answer_is_repeated_alike)
+TEST_F(placement_controller_test, an_order_without_answer_is_repeated_alike)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -178,7 +179,7 @@
     EXPECT_EQ(this->sent[1].span, this->sent[0].span);
 }
 
-TEST_F(layer_keeper_test, an_order_under_way_counts_as_done_until_its_time_is_over)
+TEST_F(placement_controller_test, an_order_under_way_counts_as_done_until_its_time_is_over)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -191,20 +192,20 @@
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(layer_keeper_test, a_finished_order_is_forgotten)
+TEST_F(placement_controller_test, a_finished_order_is_forgotten)
 {
     this->put("a", {0, 8});
     this->put("b");
     this->look();
     this->answer_all(order_result::begun);
-    EXPECT_EQ(this->keeper->orders_open(), 1U);
+    EXPECT_EQ(this->keeper->pending_order_count(), 1U);
     this->put("b", this->sent[0].span);
     this->look(1s);
-    EXPECT_EQ(this->keeper->orders_open(), 0U);
+    EXPECT_EQ(this->keeper->pending_order_count(), 0U);
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(layer_keeper_test, an_engine_that_refused_is_left_alone_for_a_while)
+TEST_F(placement_controller_test, an_engine_that_refused_is_left_alone_for_a_while)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -216,7 +217,7 @@
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(layer_keeper_test, many_dead_engines_at_once_are_a_host_that_reaches_none)
+TEST_F(placement_controller_test, many_dead_engines_at_once_are_a_host_that_reaches_none)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -226,7 +227,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, layers_of_a_dead_or_leaving_engine_are_placed_again)
+TEST_F(placement_controller_test, layers_of_a_dead_or_leaving_engine_are_placed_again)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -241,7 +242,7 @@
     }
 }
 
-TEST_F(layer_keeper_test, an_engine_that_vanished_counts_as_coming_back_for_a_while)
+TEST_F(placement_controller_test, an_engine_that_vanished_counts_as_coming_back_for_a_while)
 {
     // Two big cards hold the model beside more room than three: the first to come back to two that are lost
     // must not take what all would.
@@ -259,7 +260,7 @@
     EXPECT_LE(this->sent[0].span.count(), 7U) << "as one of three, not of two";
     this->answer_all(order_result::refused);
     this->sent.clear();
-    this->look(this->settings.return_time);
+    this->look(this->settings.return_grace_period);
     ASSERT_EQ(this->sent.size(), 1U);
     EXPECT_GT(this->sent[0].span.count(), 7U) << "nobody else comes back any more";
 }
--- a/tests/auto/placement/tst_repair.cpp
+++ b/tests/auto/placement/tst_repair.cpp
@@ -46,7 +46,8 @@
 /// Engines come back after a second; what their former starts wrote comes later still.
 engine_loss make_return(std::size_t engines)
 {
-    return {.engines = engines, .return_time = 1s, .returns_under_its_name = true, .late_entry = 2200ms};
+    return {
+        .engines = engines, .return_grace_period = 1s, .returns_under_its_name = true, .late_entry = 2200ms};
 }
 
 // With the way before (holes filled one by one, layouts never balanced; aim.balances = false, eight draws):
--- a/tests/support/repairmodel.cpp
+++ b/tests/support/repairmodel.cpp
@@ -69,9 +69,9 @@
     , profile(make_profile())
 {
     this->draw_deployment(engine_count);
-    layer_keeper_settings settings;
+    placement_controller_settings settings;
     settings.aim = aim;
-    layer_keeper_hooks hooks;
+    placement_controller_hooks hooks;
     hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
     hooks.send = [this](const layer_order& order, const std::function<void(order_result)>& on_result) {
         this->take_order(order, on_result);
@@ -85,7 +85,7 @@
     };
     hooks.used_share = [](const engine_profile&, const discovered_upstream&) { return 1.0; };
     hooks.is_dead = [this](const upstream_id& id) { return this->is_dead(id); };
-    this->keeper = std::make_unique<layer_keeper>(settings, std::move(hooks), this->directory);
+    this->keeper = std::make_unique<placement_controller>(settings, std::move(hooks), this->directory);
 }
 
 void repair_model::draw_deployment(std::size_t engine_count)
@@ -243,7 +243,7 @@
     this->timers.run_due(this->now);
     this->directory.drop_lapsed(this->now);
     if (this->now.time_since_epoch() % look_interval == duration::zero()) {
-        this->keeper->look(this->profile, service_id("llm"));
+        this->keeper->reconcile(this->profile, service_id("llm"));
     }
 }
 
@@ -291,8 +291,8 @@
                 group.push_back(&item);
             }
         }
-        constexpr double life_ms = 3000;
-        rates.push_back(layout_rates(this->profile, group, life_ms).weakest());
+        constexpr double residence_ms = 3000;
+        rates.push_back(layout_rates(this->profile, group, residence_ms).weakest());
     }
     return rates;
 }
@@ -325,7 +325,7 @@
         item.layers_left = 0;
         item.dead_known = this->now + death_delay;
     }
-    if (!loss.return_time) {
+    if (!loss.return_grace_period) {
         const std::vector<placeable_engine> left = this->list_up();
         groups = this->split(left);
         std::vector<placeable_engine> anew = left;
@@ -341,11 +341,11 @@
     }
     this->loads = 0;
     this->layers_loaded = 0;
-    bool has_returned = !loss.return_time;
+    bool has_returned = !loss.return_grace_period;
     const time_point end = this->now + played_time;
     while (this->now < end) {
         this->step();
-        if (!has_returned && this->now - lost_at >= *loss.return_time) {
+        if (!has_returned && this->now - lost_at >= *loss.return_grace_period) {
             has_returned = true;
             for (const std::size_t index : lost) {
                 engine& item = this->engines[index];
--- a/tests/support/repairmodel.h
+++ b/tests/support/repairmodel.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 
 #include <memory>
 #include <optional>
@@ -13,7 +13,7 @@
 struct engine_loss
 {
     std::size_t engines = 1; ///< that are lost together, drawn among all
-    std::optional<duration> return_time; ///< after the loss; nothing: they are gone for good
+    std::optional<duration> return_grace_period; ///< after the loss; nothing: they are gone for good
     bool returns_under_its_name = false;
     /// An entry that the lost start wrote comes this late; nothing: none does.
     std::optional<duration> late_entry;
@@ -34,8 +34,8 @@
 };
 
 /// Engines of unlike cards in some halls, with loads that take their time, under a clock of its own; the
-/// orders are given by the real `layer_keeper`, which sees entries that are half a second old and deaths
-/// after a while.
+/// orders are given by the real `placement_controller`, which sees entries that are half a second old and
+/// deaths after a while.
 class repair_model
 {
 public:
@@ -94,7 +94,7 @@
     upstream_directory directory{std::chrono::seconds(2)};
     std::vector<engine> engines;
     std::vector<pending_entry> entries;
-    std::unique_ptr<layer_keeper> keeper;
+    std::unique_ptr<placement_controller> keeper;
     std::size_t loads = 0;
     std::size_t layers_loaded = 0;
 };
