--- a/bench/bench_detection.cpp
+++ b/bench/bench_detection.cpp
@@ -108,12 +108,12 @@
     }
 
     /// Probes that the dead engine never answered may be judged a moment after it is back.
-    void note_verdict(const upstream_id& id, std::size_t reporter)
+    void note_verdict(const upstream_id& id, std::size_t teller)
     {
         const bool was_dead = this->last_dead == id && this->now - this->came_back < milliseconds(200);
         if (this->dead_copy && id == engine(*this->dead_copy, 1)) {
             const std::chrono::duration<double, std::milli> taken = this->now - this->died;
-            if (this->told.insert(reporter).second) {
+            if (this->told.insert(teller).second) {
                 this->counted.verdict_ms.push_back(taken.count());
             }
         } else if (!was_dead) {
--- a/bench/bench_repair.cpp
+++ b/bench/bench_repair.cpp
@@ -86,7 +86,7 @@
     present.aim.balances = false;
     const way balanced{"balanced", {}};
     engine_loss returned;
-    returned.return_grace_period = 1s;
+    returned.return_time = 1s;
     returned.late_entry = 2200ms;
     engine_loss same = returned;
     same.returns_under_its_name = true;
--- a/src/libs/health/runningestimate.h
+++ b/src/libs/health/runningestimate.h
@@ -5,11 +5,12 @@
 
 namespace sailtiller {
 
-/// Mean deviations beyond which what is waited for counts as missing, as RFC 6298 has it for retransmissions.
+/// Mean deviations above the mean after which an expected event counts as missing, as in the retransmission
+/// timeout of RFC 6298.
 constexpr double timeout_deviations = 4;
 
-/// Running mean and mean deviation of a quantity, with the weights that RFC 6298 gives round trips: a new
-/// sample counts an eighth in the mean and a quarter in the deviation.
+/// Running mean and mean deviation of a quantity, with the weights of RFC 6298 for round-trip times: 1/8 of a
+/// new sample in the mean and 1/4 in the deviation.
 class running_estimate
 {
 public:
@@ -35,8 +36,8 @@
     [[nodiscard]] bool has_value() const { return this->is_known; }
     [[nodiscard]] double mean() const { return this->middle; }
     [[nodiscard]] double deviation() const { return this->spread; }
-    /// The mean and so many mean deviations. Of a normal quantity, one in ten lies beyond 1.6 of them, and
-    /// one in 1,400 beyond 4.
+    /// The mean plus `deviations` mean deviations. For a normal distribution, one sample in ten is above 1.6
+    /// of them, and one in 1,400 above 4.
     [[nodiscard]] double bound(double deviations) const { return this->middle + deviations * this->spread; }
 
 private:
--- a/src/libs/placement/grouprate.h
+++ b/src/libs/placement/grouprate.h
@@ -9,22 +9,22 @@
 
 using engine_list = std::vector<const placeable_engine*>;
 
-/// Whole layers that an engine holds beside room for that many tokens through each of them; never more than
-/// the model has, and none on a card that the profile doesn't know.
+/// Number of whole layers that an engine can hold and still have capacity for `tokens` tokens in each of
+/// them. At most the layers of the model; 0 for a card that the profile does not list.
 unsigned count_placeable_layers(const engine_profile& profile, const placeable_engine& engine, double tokens);
 
-/// The most tokens beside which these engines together hold `copies` copies of the model; nothing if they
-/// hold less even without any token.
+/// Largest token capacity that the engines can keep while they hold `copies` copies of the model together.
+/// Empty if they cannot hold them even with no capacity left.
 std::optional<double> find_max_token_capacity(
     const engine_profile& profile, const engine_list& engines, double copies);
 
-/// Milliseconds from a usual request's first engine to its last token, if each engine holds as much as it can
-/// beside room for that many tokens.
+/// Residence time of a usual request in milliseconds, from its first engine to its last token, if each engine
+/// holds as many layers as it can with capacity for `tokens` tokens.
 double predict_residence_ms(const engine_profile& profile, const engine_list& engines, double tokens);
 
-/// Requests a second that these engines serve together with one copy of the model: the least of what their
-/// room, their slots, their reading of prompts and, if paths go from hall to hall, the pipe between two halls
-/// carry. Zero if they can't hold the model. In requests of usual size.
+/// Requests of usual size per second that the engines serve with one copy of the model. The rate is limited
+/// by token capacity, request slots, prompt processing and, for more than one hall, by the pipe between
+/// halls. 0 if the engines cannot hold the model.
 double predict_group_rate(const engine_profile& profile, const engine_list& engines, unsigned hall_count);
 
 } // namespace sailtiller
--- a/src/libs/placement/layerorder.h
+++ b/src/libs/placement/layerorder.h
@@ -8,54 +8,55 @@
 
 namespace sailtiller {
 
-/// Rises with each change of who gives orders; an engine refuses an order with a lower one than it has seen.
+/// Increases with each change of the order issuer. An engine refuses an order with a lower token than one
+/// that it has seen.
 using fencing_token = strong_type<struct fencing_token_tag, std::uint64_t>;
 
-/// Tells an engine to hold these layers from now on.
+/// Orders an engine to hold these layers.
 struct layer_order
 {
     upstream_id id;
     endpoint address;
     layer_span span;
     fencing_token token;
-    /// The engine refuses the order if it has begun another number of orders; so a repeat is begun once.
+    /// The engine refuses the order if it has begun a different number of orders, so a resent order is begun
+    /// once.
     std::optional<std::uint64_t> expected_orders;
-    bool cuts = false; ///< requests that pass through layers given up are cut, rather than waited for
+    bool cuts = false; ///< cut requests that use released layers instead of waiting for their end
 };
 
-/// What came of an order.
+/// Outcome of an order.
 enum class order_result {
-    begun, ///< the engine has begun, or holds the layers already
-    unfit, ///< the engine is at another order, or has begun one that this host does not know of
-    fenced, ///< another host gives the orders now
-    gone, ///< another upstream has that address
-    refused, ///< the engine does not know such an order
-    unanswered ///< it may be carried out, also later
+    begun, ///< the engine has begun the order, or holds the layers already
+    unfit, ///< the engine carries out another order, or has begun one unknown to this host
+    fenced, ///< another host is the order issuer now
+    gone, ///< the address belongs to another upstream now
+    refused, ///< the engine does not support the order
+    unanswered ///< the order may be carried out, possibly later
 };
 
-/// As it stands in the log.
+/// Name of the result in the event log.
 std::string_view name_of(order_result result);
 
-/// What an engine tells of itself when it is probed.
+/// Content of an answer to a probe.
 struct engine_report
 {
-    double pace = 1; ///< how many times slower than its card it runs at present
-    std::optional<layer_span> held; ///< layers whose weights are loaded; nothing if the report doesn't say
-    std::optional<start_moment> born; ///< of the start that answered; nothing if the report doesn't say
-    bool is_leaving = false; ///< the upstream says that it ends before long
-    bool is_other_upstream = false; ///< the upstream that was asked for doesn't stand at that address
+    double pace = 1; ///< factor by which the engine currently runs slower than its card
+    std::optional<layer_span> held; ///< layers with loaded weights; empty if not reported
+    std::optional<start_moment> born; ///< start of the process that answered; empty if not reported
+    bool is_leaving = false; ///< the upstream will end shortly
+    bool is_other_upstream = false; ///< another upstream answered at the address
 };
 
-/// How orders look on the wire.
+/// Wire format of orders and probes.
 struct order_codec
 {
     std::function<http_request(const layer_order&)> encode_order;
     std::function<order_result(int status)> decode_result;
-    /// A small request that any engine or service answers at once, and another than the one asked for with a
-    /// report that says so.
+    /// Encodes a small request that any engine or service answers at once. An upstream other than the
+    /// requested one says so in its report.
     std::function<http_request(const endpoint&, const upstream_id&)> encode_probe;
-    /// What an answer to a probe tells; what is missing in it counts as usual. Throws `error` if it is
-    /// unreadable.
+    /// Decodes an answer to a probe; missing fields get their defaults. Throws `error` if it is unreadable.
     std::function<engine_report(const http_response&)> decode_report;
 };
 
--- a/src/libs/placement/layerplan.h
+++ b/src/libs/placement/layerplan.h
@@ -6,22 +6,22 @@
 
 namespace sailtiller {
 
-/// An engine that may hold layers, as the planner sees it.
+/// An engine that may hold layers, as input of the planner.
 struct placeable_engine
 {
     upstream_id id;
     data_hall_id data_hall;
     std::string card;
-    layer_span held; ///< what it holds, or is loading
-    /// It was there a moment ago and may come back, mostly empty: it gets nothing, but the others' shares are
-    /// chosen as if it were there. Without that, the first engine of a hall to come back took as little as if
-    /// the others had gone for good, and a layer was left that no engine had room for.
+    layer_span held; ///< layers that it holds or loads
+    /// The engine vanished recently and may come back, mostly empty. It gets no layers, but the shares of the
+    /// others are chosen as if it were present. Otherwise the first engine of a hall to come back takes a
+    /// share as if the others were gone for good, and a layer is left for which no engine has capacity.
     bool is_absent = false;
-    bool is_loading = false; ///< it has an order that isn't done
-    double used_share = 0; ///< of its room for tokens, by the requests of all hosts
+    bool is_loading = false; ///< it has an unfinished order
+    double used_share = 0; ///< share of its token capacity in use by the requests of all hosts
 };
 
-/// One engine shall hold these layers from now on.
+/// Assigns a span of layers to an engine.
 struct placement_step
 {
     upstream_id id;
@@ -31,39 +31,40 @@
     auto operator<=>(const placement_step&) const = default;
 };
 
-/// How much the planner aims for.
+/// Targets of the planner.
 struct placement_aim
 {
-    /// Copies of every layer within a group of halls. More copies survive more losses but leave less room for
-    /// tokens; 1.15 to 1.3 was best in trials.
+    /// Copies of every layer within a group of halls. More copies tolerate more losses but leave less token
+    /// capacity; 1.15 to 1.3 was best in trials.
     double copies = 1.3;
-    /// Engines that run one request in a hall of many, at the most in the mean: each part adds a hop to every
-    /// token, and an engine takes paths of 32 parts at the most.
+    /// Upper bound of the mean number of stages of a path in a hall with many engines. Each stage adds a hop
+    /// to every token, and an engine accepts paths of at most 32 stages.
     double max_stages = 14;
-    /// The least room for tokens that an engine is left with, in usual requests (prompt and answer).
+    /// Minimum token capacity of an engine, in usual requests (prompt and answer).
     double min_requests = 16;
-    /// The same for a hall that holds the model only beside less room and yet serves more by itself than
-    /// through the pipe to another one: the largest requests, three usual ones, must fit still.
+    /// Minimum for a hall that holds the model only with less capacity but serves more alone than through the
+    /// pipe to another hall. The largest requests, three usual ones, must still fit.
     double min_requests_in_small_hall = 3;
-    /// The same where a layer has no holder: room goes before a path that isn't there.
+    /// Minimum for an engine that extends into a coverage gap: capacity takes precedence over a path that
+    /// does not exist yet.
     double min_requests_at_coverage_gap = 24;
-    /// Layouts without a hole are balanced; see `balance_layout`.
+    /// Layouts without a coverage gap are balanced; see `balance_layout`.
     bool balances = true;
-    /// ... once some engine's room is used to this share, from which on new requests are kept away from it.
+    /// Used share of the capacity of an engine from which on the layout is balanced. New requests avoid
+    /// engines with this share.
     double high_usage_share = 0.85;
 };
 
-/// How long the planner's host has watched the engines; what moves engines that serve needs more of it.
+/// How long this host has observed the engines. Moving engines that serve requires a later phase.
 enum class observation_phase {
-    begun, ///< the duty is new here: engines may be missing for a moment, or have orders of another host's
-    watched, ///< what is missing is known: a hole that no other step closes may move engines
-    stable ///< and nothing was ordered, lost or awaited for a while: a crowded layout may be balanced
+    begun, ///< new to the duty: engines may be missing for a moment, or have orders of another host
+    watched, ///< missing engines are known: engines may move into a gap that no other step closes
+    stable ///< also no recent order, loss or expected return: a crowded layout may be balanced
 };
 
-/// What to load next: empty engines get the layers that are covered least in their group. For a layer without
-/// any holder, the holders of the layers beside it take it as well, since an engine goes on with what it
-/// keeps while it loads a little more; what they can't take goes to an engine whose layers all have another
-/// holder. A group is a hall whose cards can hold every layer, or as few halls as can together; see
+/// Returns the next layers to load. Empty engines get the layers with the least coverage in their group. A
+/// coverage gap is closed by the holders of adjacent layers, which keep serving while they load a few more;
+/// what they cannot take goes to an engine whose layers all have another holder. For the groups see
 /// `split_into_hall_groups`.
 std::vector<placement_step> plan_layers(const engine_profile& profile,
     const std::vector<placeable_engine>& engines, const placement_aim& aim,
--- a/src/libs/placement/layoutbalance.h
+++ b/src/libs/placement/layoutbalance.h
@@ -7,63 +7,64 @@
 
 namespace sailtiller {
 
-/// Requests a second that each layer of a group passes, as its engines hold the layers now: each engine gives
-/// each of its layers the least of what its room and its reading of prompts carry, so an engine with few
-/// layers carries more on each. In requests of usual size.
+/// Requests of usual size per second through each layer of a group, with the layers that its engines hold
+/// now. An engine contributes to each of its layers the lower of the rates that its token capacity and its
+/// prompt processing allow, so an engine with few layers contributes more to each.
 class layout_rates
 {
 public:
-    /// `residence_ms`: how long a usual request keeps its room.
+    /// `residence_ms`: residence time of a usual request.
     layout_rates(const engine_profile& profile, const engine_list& engines, double residence_ms);
 
-    /// Requests a second through the layers together: the weakest ones count by far the most.
+    /// Power mean of the rates of the layers, dominated by the lowest ones.
     [[nodiscard]] double overall() const;
-    /// The same if the engine held `to` in place of `from`.
+    /// Overall rate if the engine held `to` instead of `from`.
     [[nodiscard]] double overall_after(
         const placeable_engine& engine, const layer_span& from, const layer_span& to) const;
-    /// The engine holds `to` in place of `from` from now on.
+    /// Replaces `from` by `to` as the span of the engine.
     void move(const placeable_engine& engine, const layer_span& from, const layer_span& to);
-    /// Requests a second that the weakest layer passes.
+    /// Lowest rate of a layer, in requests per second.
     [[nodiscard]] double weakest() const;
-    /// Requests a second that a layer passes in the mean.
+    /// Mean rate of the layers, in requests per second.
     [[nodiscard]] double mean() const;
 
 private:
-    /// Requests a second through each layer of an engine that holds so many.
+    /// Contribution in requests per second to each layer of an engine that holds `layers` layers.
     [[nodiscard]] double rate_of(const placeable_engine& engine, unsigned layers) const;
     void add_rate(const layer_span& span, double rate);
     void sum_weights();
 
     const engine_profile& profile;
     double residence_ms;
-    std::vector<double> rates; ///< of each layer
-    double parts = 0; ///< sum of the layers' parts in the mean
+    std::vector<double> rates; ///< requests per second of each layer
+    double parts = 0; ///< sum of the weights of the layers in the power mean
 };
 
-/// Bounds of a balancing.
+/// Limits of one balancing run.
 struct balance_limits
 {
-    /// A step must raise the layout's overall rate by this share: each one loads layers, and streams leave
-    /// the engine meanwhile.
+    /// Minimum relative increase of the overall rate per step: each step loads layers, and streams leave the
+    /// engine meanwhile.
     double min_gain = 0.05;
-    /// ... or by this one while the weakest layer passes less than so much of what the layers pass in the
-    /// mean: the way from a layout in need to a good one has small steps.
+    /// Minimum increase while the lowest rate is below `uneven_share` of the mean rate: an uneven layout
+    /// improves in small steps.
     double min_gain_when_uneven = 0.02;
     double uneven_share = 0.5;
-    /// Steps at once; with those of other groups they run within the loads that take no longer together.
+    /// Steps per run. Together with those of other groups they stay within the loads that do not slow each
+    /// other.
     unsigned max_steps = 4;
-    /// An engine holds at least this share of the layers that it has room for: fewer carry more requests
-    /// each, and make paths of more parts.
+    /// Minimum share of the layers that fit on an engine. Fewer layers carry more requests each, but lead to
+    /// paths of more stages.
     double min_fill_share = 0.75;
 };
 
-/// Steps that raise what a whole layout carries, best first: an engine that holds too many layers gives up
-/// those that others hold too, and engines whose layers others hold go where a layer passes the least. None
-/// gives up the only holder of a layer, nor one of the two first engines of paths. `room` is the room for
-/// tokens beside which engines hold as much as they can.
-/// After 11 of 38 engines had started anew, every layer was held again within 8 s, but engines that had taken
-/// seven layers in need, where five leave room for usual work, kept them: 0.60 to 0.68 of the requests were
-/// served in aim to the day's end.
+/// Returns steps that raise the rate of a layout without coverage gaps, best first. An engine with too many
+/// layers releases those that others hold too, and engines whose layers others hold move to the layers with
+/// the lowest rates. No step removes the last holder of a layer, nor one of the last two holders of layer 0.
+/// Engines hold as many layers as they can with a capacity of `capacity` tokens. Without balancing, after 11
+/// of 38 engines had restarted, every layer was held again within 8 s, but engines that had taken seven
+/// layers for it, where five leave capacity for usual work, kept them: 0.60 to 0.68 of the requests met their
+/// targets until the end of the day.
 std::vector<placement_step> balance_layout(
     const engine_profile& profile, const engine_list& engines, double room, const balance_limits& limits);
 
--- a/src/libs/placement/missinglayers.h
+++ b/src/libs/placement/missinglayers.h
@@ -6,8 +6,8 @@
 
 namespace sailtiller {
 
-/// Layers of a pool's model that no engine of a hall holds, for each hall with engines of the pool. Streams
-/// of a hall that lacks some go through the pipe to another one.
+/// Number of layers of the pool's model without a holder in each hall that has engines of the pool. Streams
+/// of a hall with missing layers use the pipe to another hall.
 std::map<data_hall_id, unsigned> count_missing_layers(
     const upstream_pool& pool, const upstream_directory& directory);
 
--- a/tests/support/repairmodel.cpp
+++ b/tests/support/repairmodel.cpp
@@ -291,8 +291,8 @@
                 group.push_back(&item);
             }
         }
-        constexpr double residence_ms = 3000;
-        rates.push_back(layout_rates(this->profile, group, residence_ms).weakest());
+        constexpr double life_ms = 3000;
+        rates.push_back(layout_rates(this->profile, group, life_ms).weakest());
     }
     return rates;
 }
@@ -325,7 +325,7 @@
         item.layers_left = 0;
         item.dead_known = this->now + death_delay;
     }
-    if (!loss.return_grace_period) {
+    if (!loss.return_time) {
         const std::vector<placeable_engine> left = this->list_up();
         groups = this->split(left);
         std::vector<placeable_engine> anew = left;
@@ -341,11 +341,11 @@
     }
     this->loads = 0;
     this->layers_loaded = 0;
-    bool has_returned = !loss.return_grace_period;
+    bool has_returned = !loss.return_time;
     const time_point end = this->now + played_time;
     while (this->now < end) {
         this->step();
-        if (!has_returned && this->now - lost_at >= *loss.return_grace_period) {
+        if (!has_returned && this->now - lost_at >= *loss.return_time) {
             has_returned = true;
             for (const std::size_t index : lost) {
                 engine& item = this->engines[index];
--- a/tests/support/repairmodel.h
+++ b/tests/support/repairmodel.h
@@ -13,7 +13,7 @@
 struct engine_loss
 {
     std::size_t engines = 1; ///< that are lost together, drawn among all
-    std::optional<duration> return_grace_period; ///< after the loss; nothing: they are gone for good
+    std::optional<duration> return_time; ///< after the loss; nothing: they are gone for good
     bool returns_under_its_name = false;
     /// An entry that the lost start wrote comes this late; nothing: none does.
     std::optional<duration> late_entry;
