--- a/src/libs/health/reporteddeaths.cpp
+++ b/src/libs/health/reporteddeaths.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// With fewer hosts, one alone may be all that is left to tell.
+/// With fewer hosts, only one other host may be left to report.
 constexpr std::size_t min_hosts_for_two_reports = 4;
 
 } // namespace
@@ -21,7 +21,7 @@
 std::optional<time_point> reported_deaths::note(
     const upstream_id& id, const host_id& reporter, time_point until, time_point now)
 {
-    std::map<host_id, time_point>& tellers = this->words[id];
+    std::map<host_id, time_point>& tellers = this->reports[id];
     std::erase_if(tellers, [now](const auto& item) { return item.second <= now; });
     tellers[reporter] = until;
     const std::size_t needed = this->reports_needed();
@@ -39,7 +39,7 @@
 
 void reported_deaths::forget(const std::function<bool(const upstream_id&)>& is_known)
 {
-    std::erase_if(this->words, [&is_known](const auto& item) { return !is_known(item.first); });
+    std::erase_if(this->reports, [&is_known](const auto& item) { return !is_known(item.first); });
 }
 
 } // namespace sailtiller
--- a/src/libs/health/reporteddeaths.h
+++ b/src/libs/health/reporteddeaths.h
@@ -20,7 +20,7 @@
     std::optional<time_point> note(
         const upstream_id& id, const host_id& reporter, time_point until, time_point now);
     /// Drops all reports about an upstream that gave a sign of life.
-    void clear(const upstream_id& id) { this->words.erase(id); }
+    void clear(const upstream_id& id) { this->reports.erase(id); }
     /// Sets the number of live hosts, including this one.
     void set_live_hosts(std::size_t count) { this->live_hosts = count; }
     void forget(const std::function<bool(const upstream_id&)>& is_known);
@@ -28,7 +28,7 @@
 private:
     [[nodiscard]] std::size_t reports_needed() const;
 
-    std::map<upstream_id, std::map<host_id, time_point>> words; ///< expiry of the report of each host
+    std::map<upstream_id, std::map<host_id, time_point>> reports; ///< expiry of the report of each host
     std::size_t live_hosts = 1;
 };
 
--- a/src/libs/health/silencemodel.cpp
+++ b/src/libs/health/silencemodel.cpp
@@ -7,12 +7,11 @@
 
 namespace {
 
-/// Where a route promises no time to the first event.
+/// Objective for the first event if the route promises none.
 constexpr duration unpromised_first = std::chrono::milliseconds(500);
-/// The predicted time of a token is at least this, so that a profile without step times divides nothing by
-/// zero.
+/// Lower bound of the predicted time of a token; prevents a division by zero for profiles without step times.
 constexpr duration least_token = std::chrono::microseconds(100);
-/// A gap that is longer than usual by half is still no sign of a fault.
+/// A gap of 1.5 times the mean is still no sign of a fault.
 constexpr double slow_gap_factor = 1.5;
 
 double token_us(const stream_expectation& expected)
@@ -47,7 +46,7 @@
 running_estimate silence_model::expect_gap(const stream_expectation& expected) const
 {
     if (!this->gap_ratio.has_value()) {
-        // Nothing was seen yet: the longest silence is waited for.
+        // No gap was observed yet: the maximum silence is tolerated.
         const auto most = static_cast<double>(max_silence(expected, 0).count());
         return {most / 2, most / 4};
     }
@@ -66,7 +65,7 @@
     const duration excess = this->first_excess.has_value()
         ? to_duration(std::max(0.0, this->first_excess.bound(timeout_deviations)))
         : objective / 4;
-    // A long prompt is waited for; beyond that, half of the objective is left for another path.
+    // Long prompts extend the limit; otherwise half of the objective is left for another path.
     return std::min(expected.reading + excess, std::max(objective / 2, 2 * expected.reading));
 }
 
--- a/src/libs/health/stalldetector.cpp
+++ b/src/libs/health/stalldetector.cpp
@@ -17,7 +17,7 @@
     return stream.last_event != time_point{};
 }
 
-/// True of a stream that has events on its present path and is silent for so long that it counts with others.
+/// True if the stream has had events on its path and is silent long enough to count together with others.
 bool is_jointly_silent(const watched_stream& stream, time_point now)
 {
     return has_begun(stream) && stream.joint_due <= now;
@@ -120,7 +120,7 @@
     stream.gap = this->model.expect_gap(expected);
     stream.is_next_gap_regular = false;
     this->expect_next_event(stream, now);
-    // The new parts read what the lost ones knew, between the work of others: twice the time of an idle path.
+    // The new stages process the prompt beside other requests: twice the time of an idle path is allowed.
     stream.due += 2 * expected.reading;
     stream.joint_due = stream.due;
 }
@@ -147,10 +147,10 @@
 
 bool stall_detector::is_any_silent(time_point now) const
 {
-    std::size_t jointly = 0;
+    std::size_t jointly_silent = 0;
     for (const auto& [key, stream] : this->streams) {
-        jointly += is_jointly_silent(stream, now) ? 1 : 0;
-        if (stream.due <= now || jointly >= this->settings.min_joint_streams) {
+        jointly_silent += is_jointly_silent(stream, now) ? 1 : 0;
+        if (stream.due <= now || jointly_silent >= this->settings.min_joint_streams) {
             return true;
         }
     }
@@ -160,7 +160,7 @@
 std::set<upstream_id> stall_detector::find_suspects(time_point now) const
 {
     if (!this->is_any_silent(now)) {
-        return {}; // nearly always, at a hundred looks a second
+        return {}; // the common case, at a hundred checks per second
     }
     const std::map<upstream_id, time_point> last_moved = this->last_event_times(now);
     std::set<upstream_id> suspects;
@@ -184,8 +184,8 @@
     struct part_movement
     {
         std::size_t silent = 0;
-        time_point silent_since{}; ///< the last event of a silent stream
-        time_point moved{}; ///< the last event of any other stream
+        time_point silent_since{}; ///< last event of a silent stream
+        time_point moved{}; ///< last event of any other stream
     };
     std::map<upstream_id, part_movement> movements;
     for (const auto& [key, stream] : this->streams) {
@@ -214,24 +214,24 @@
     this->hooks.timers.schedule_after(this->settings.look_interval, [this] { this->look(); });
     if (late > this->settings.late_check_threshold) {
         this->extend_deadlines(late);
-        return; // events and answers may lie unread in the sockets
+        return; // sockets may hold unread events and answers
     }
     this->probe_suspects(now);
     this->probes.look();
 }
 
-void stall_detector::extend_deadlines(duration stood_still)
+void stall_detector::extend_deadlines(duration stall_time)
 {
     for (auto& [key, stream] : this->streams) {
-        stream.due += stood_still;
-        stream.joint_due += stood_still;
+        stream.due += stall_time;
+        stream.joint_due += stall_time;
     }
-    this->probes.extend_deadlines(stood_still);
+    this->probes.extend_deadlines(stall_time);
 }
 
 void stall_detector::suspect(const upstream_id& id)
 {
-    this->named.insert(id);
+    this->externally_suspected.insert(id);
 }
 
 bool stall_detector::has_progressed(const upstream_id& id, time_point since) const
@@ -258,8 +258,8 @@
 {
     std::set<upstream_id> suspects = this->find_suspects(now);
     this->add_slow_stages(suspects, now);
-    suspects.merge(this->named);
-    this->named.clear();
+    suspects.merge(this->externally_suspected);
+    this->externally_suspected.clear();
     for (const upstream_id& id : suspects) {
         this->probes.ask(id);
     }
--- a/src/libs/health/stalldetector.h
+++ b/src/libs/health/stalldetector.h
@@ -104,7 +104,7 @@
     [[nodiscard]] bool is_any_silent(time_point now) const;
     void look();
     /// Extends all deadlines by the time for which this process was stalled.
-    void extend_deadlines(duration stood_still);
+    void extend_deadlines(duration stall_time);
     void expect_next_event(watched_stream& stream, time_point now) const;
     /// Time of the last event of each upstream, over the streams that are not silent; zero if there was none.
     [[nodiscard]] std::map<upstream_id, time_point> last_event_times(time_point now) const;
@@ -119,7 +119,7 @@
     upstream_probes probes;
     silence_model model;
     std::map<stream_key, watched_stream> streams;
-    std::set<upstream_id> named; ///< suspected for reasons other than a stream
+    std::set<upstream_id> externally_suspected; ///< suspected for reasons other than a stream
     stream_key last_key = 0;
     time_point last_check{};
 };
--- a/src/libs/health/upstreamprobes.cpp
+++ b/src/libs/health/upstreamprobes.cpp
@@ -56,16 +56,16 @@
     this->no_probe_before[id] = now + this->settings.pause;
     this->asked[id] = {now, now + this->answer_limit(), 0, false};
     this->hooks.send(
-        id, [this, id, now](const std::optional<double>& pace) { this->take_answer(id, now, pace); });
+        id, [this, id, now](const std::optional<double>& pace) { this->handle_answer(id, now, pace); });
 }
 
-void upstream_probes::take_answer(const upstream_id& id, time_point sent, const std::optional<double>& pace)
+void upstream_probes::handle_answer(const upstream_id& id, time_point sent, const std::optional<double>& pace)
 {
     const auto pending = this->asked.find(id);
     const bool is_awaited = pending != this->asked.end() && pending->second.sent == sent;
     if (!pace) {
         if (is_awaited) {
-            pending->second.is_over = true; // judged at its time, or at the next look
+            pending->second.is_over = true; // evaluated when due, or at the next check
         }
         return;
     }
@@ -105,7 +105,7 @@
     }
     std::erase_if(due, [this, now](const upstream_id& id) { return !this->judge(id, now); });
     if (!due.empty()) {
-        this->condemn(due);
+        this->mark_dead(due);
     }
     this->reprobe_dead(now);
     this->reprobe_slow(now);
@@ -124,7 +124,7 @@
 {
     pending_probe& probe = this->asked[id];
     if (this->hooks.has_progressed(id, probe.sent)) {
-        this->asked.erase(id); // the answer is lost, but it works
+        this->asked.erase(id); // the answer was lost, but a stream progresses over the upstream
         return false;
     }
     if (this->has_sign_of_other_upstream(id, probe.sent)) {
@@ -136,7 +136,7 @@
         this->probe_other(id);
         return false;
     }
-    // Nobody gives a sign of life. If there is anybody else, it is this host that can't hear.
+    // No upstream gives a sign of life. If there are others, this host has lost its connectivity.
     if (this->hooks.find_other(id)) {
         this->asked.erase(id);
         return false;
@@ -152,7 +152,7 @@
     }
 }
 
-void upstream_probes::condemn(const std::vector<upstream_id>& ids)
+void upstream_probes::mark_dead(const std::vector<upstream_id>& ids)
 {
     const time_point now = this->hooks.timers.now();
     for (const upstream_id& id : ids) {
@@ -194,10 +194,10 @@
     }
 }
 
-void upstream_probes::extend_deadlines(duration stood_still)
+void upstream_probes::extend_deadlines(duration stall_time)
 {
     for (auto& [id, probe] : this->asked) {
-        probe.due += stood_still;
+        probe.due += stall_time;
     }
 }
 
@@ -216,7 +216,7 @@
 {
     const auto known = this->dead.find(id);
     if (known != this->dead.end() && known->second.since >= at) {
-        return; // this host's own verdict is newer
+        return; // the verdict of this host is newer
     }
     const time_point quiet = at + this->settings.alive_probe_interval;
     if (quiet > this->hooks.timers.now()) {
--- a/src/libs/health/upstreamprobes.h
+++ b/src/libs/health/upstreamprobes.h
@@ -81,7 +81,7 @@
     /// Evaluates probes without an answer and probes dead and slow upstreams again. Called periodically.
     void look();
     /// Extends the deadlines by the time for which this process was stalled.
-    void extend_deadlines(duration stood_still);
+    void extend_deadlines(duration stall_time);
     /// Sets the number of hosts that share the budget.
     void set_live_hosts(std::size_t count) { this->live_hosts = count == 0 ? 1 : count; }
     /// Other hosts report the upstream dead. Renews an own verdict; an assigned prober probes the upstream.
@@ -113,12 +113,12 @@
     };
 
     void send(const upstream_id& id);
-    void take_answer(const upstream_id& id, time_point sent, const std::optional<double>& pace);
+    void handle_answer(const upstream_id& id, time_point sent, const std::optional<double>& pace);
     /// True if the upstream is found dead.
     [[nodiscard]] bool judge(const upstream_id& id, time_point now);
     [[nodiscard]] bool has_sign_of_other_upstream(const upstream_id& id, time_point since) const;
     void probe_other(const upstream_id& id);
-    void condemn(const std::vector<upstream_id>& ids);
+    void mark_dead(const std::vector<upstream_id>& ids);
     void mark_alive(const upstream_id& id, double pace);
     void reprobe_dead(time_point now);
     void reprobe_slow(time_point now);
--- a/src/libs/placement/grouprate.cpp
+++ b/src/libs/placement/grouprate.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Halvings of the range of tokens; after these it is far below one token.
+/// Bisection steps; they narrow the range far below one token.
 constexpr int capacity_search_steps = 40;
-/// Tokens beyond which no more room is looked for; profiles without cache memory would have no end.
+/// Upper bound of the search, which has no end for profiles without cache memory.
 constexpr double max_capacity_tokens = 1e9;
 constexpr double milliseconds_per_second = 1000;
 
@@ -24,12 +24,12 @@
     return sum >= copies * profile.layers;
 }
 
-/// What one usual request costs the engines, each of which holds as much as it can beside that room.
+/// Cost of one usual request if each engine holds as many layers as it can with the given capacity.
 struct request_cost
 {
     double copies = 0;
     double residence_ms = 0; ///< from its first engine to its last token
-    double longest_reading_ms = 0; ///< on the engine that reads longest
+    double longest_reading_ms = 0; ///< prompt processing on the engine that takes longest
 };
 
 request_cost predict_cost(const engine_profile& profile, const engine_list& engines, double tokens)
@@ -55,7 +55,7 @@
     return cost;
 }
 
-/// Prompts a second that go through a pipe between two halls.
+/// Prompts per second that a pipe between two halls can carry.
 double predict_pipe_rate(const engine_profile& profile)
 {
     const double prompt_bits = profile.crossing_bits(profile.usual_prompt_tokens);
@@ -103,12 +103,12 @@
 
 double predict_group_rate(const engine_profile& profile, const engine_list& engines, unsigned hall_count)
 {
-    const std::optional<double> room = find_max_token_capacity(profile, engines, 1);
-    if (!room) {
+    const std::optional<double> capacity = find_max_token_capacity(profile, engines, 1);
+    if (!capacity) {
         return 0;
     }
-    const request_cost cost = predict_cost(profile, engines, *room);
-    double at_once = *room / std::max(usual_request_tokens(profile), 1.0);
+    const request_cost cost = predict_cost(profile, engines, *capacity);
+    double at_once = *capacity / std::max(usual_request_tokens(profile), 1.0);
     if (profile.request_slots > 0) {
         at_once = std::min<double>(at_once, profile.request_slots);
     }
--- a/src/libs/placement/hallgroups.cpp
+++ b/src/libs/placement/hallgroups.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// The engines of one hall, or of several that stand together.
+/// The engines of one or several joined halls.
 struct hall_set
 {
-    engine_list engines; ///< hall by hall
+    engine_list engines; ///< ordered by hall
     unsigned hall_count = 1;
 };
 
@@ -24,7 +24,7 @@
     return left;
 }
 
-/// Splits the halls of one deployment; made for one plan.
+/// Groups the halls of one deployment for one plan.
 class hall_grouping
 {
 public:
@@ -51,9 +51,9 @@
     }
 
 private:
-    [[nodiscard]] bool holds_model(const hall_set& set, double room) const
+    [[nodiscard]] bool holds_model(const hall_set& set, double capacity) const
     {
-        return find_max_token_capacity(this->profile, set.engines, 1).value_or(-1) >= room;
+        return find_max_token_capacity(this->profile, set.engines, 1).value_or(-1) >= capacity;
     }
 
     [[nodiscard]] double sum_rates(const std::vector<hall_set>& sets) const
@@ -71,9 +71,9 @@
             });
     }
 
-    /// Joins halls until each group holds the model beside that room: the one that holds most with the one
-    /// that holds least of those that suffice, so that the others are left for more groups.
-    [[nodiscard]] std::vector<hall_set> form_groups(std::vector<hall_set> halls, double room) const
+    /// Joins halls until each group holds the model with this capacity. The largest hall is joined with the
+    /// smallest one that suffices, which leaves the others for more groups.
+    [[nodiscard]] std::vector<hall_set> form_groups(std::vector<hall_set> halls, double capacity) const
     {
         std::stable_sort(halls.begin(), halls.end(), [this](const hall_set& left, const hall_set& right) {
             return this->max_layers_held(left) > this->max_layers_held(right);
@@ -82,8 +82,8 @@
         while (!halls.empty()) {
             hall_set group = halls.front();
             halls.erase(halls.begin());
-            while (!this->holds_model(group, room) && !halls.empty()) {
-                const auto partner = this->find_partner(group, halls, room);
+            while (!this->holds_model(group, capacity) && !halls.empty()) {
+                const auto partner = this->find_partner(group, halls, capacity);
                 group = join(std::move(group), *partner);
                 halls.erase(partner);
             }
@@ -92,13 +92,13 @@
         return made;
     }
 
-    /// The smallest hall that suffices, or the largest if none does.
+    /// Smallest hall that suffices, or the largest if none does.
     [[nodiscard]] std::vector<hall_set>::iterator find_partner(
-        const hall_set& group, std::vector<hall_set>& halls, double room) const
+        const hall_set& group, std::vector<hall_set>& halls, double capacity) const
     {
         for (auto hall = halls.end(); hall != halls.begin();) {
             --hall;
-            if (this->holds_model(join(group, *hall), room)) {
+            if (this->holds_model(join(group, *hall), capacity)) {
                 return hall;
             }
         }
@@ -106,8 +106,9 @@
     }
 
     const engine_profile& profile;
-    double min_capacity; ///< tokens, of the aim
-    double min_capacity_in_small_hall; ///< tokens, of a hall that stays apart for want of a better way
+    double min_capacity; ///< in tokens, from the aim
+    double min_capacity_in_small_hall; ///< in tokens, for a hall that stays separate although its capacity is
+                                       ///< small
 };
 
 } // namespace
--- a/src/libs/placement/layercoverage.cpp
+++ b/src/libs/placement/layercoverage.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// Worth of one more holder for a layer that has none, one, or more. A layer without a holder stops its hall,
-/// so it goes before any number of others.
+/// Value of one more holder of a layer that has none, one, or more. A layer without a holder stops its hall,
+/// so it outweighs any number of others.
 constexpr double uncovered_value = 1000;
 constexpr double second_holder_value = 10;
 constexpr double further_holder_value = 1;
-/// Worth of a holder that is faster than all others of a layer: the share of its time that a request saves
-/// there. Below the worth of a second holder, above that of a third.
+/// Value of a holder that is faster than all others of a layer, times the share of its time that a request
+/// saves there. Between the values of a second and a third holder.
 constexpr double faster_holder_value = 8;
-/// A lost head can't be replaced within a running stream, so layer 0 is doubled first.
+/// The first engine of a path cannot be replaced within a running stream, so layer 0 gets its second holder
+/// first.
 constexpr double first_layer_value = 30;
-/// Sums of the same worths in another order differ by less than this.
+/// Bound of the rounding error between sums of the same values in a different order.
 constexpr double value_margin = 1e-9;
-/// A second holder never takes part in giving up a layer's last holder.
+/// A layer with fewer holders keeps them all.
 constexpr unsigned min_holders_to_release = 2;
 
-/// Worth of one more holder for a layer that has so many.
+/// Value of one more holder of a layer with this number of holders.
 double value_of_holder(unsigned holders)
 {
     switch (holders) {
@@ -87,15 +88,15 @@
 
 layer_span layer_coverage::find_coverage_gap(unsigned begin) const
 {
-    layer_span hole{begin, begin};
-    while (hole.begin < this->count() && this->holders[hole.begin] != 0) {
-        ++hole.begin;
+    layer_span gap{begin, begin};
+    while (gap.begin < this->count() && this->holders[gap.begin] != 0) {
+        ++gap.begin;
     }
-    hole.end = hole.begin;
-    while (hole.end < this->count() && this->holders[hole.end] == 0) {
-        ++hole.end;
+    gap.end = gap.begin;
+    while (gap.end < this->count() && this->holders[gap.end] == 0) {
+        ++gap.end;
     }
-    return hole;
+    return gap;
 }
 
 bool layer_coverage::has_coverage_gap() const
--- a/src/libs/placement/layerplan.cpp
+++ b/src/libs/placement/layerplan.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Plans for one group of halls.
+/// Plan for one group of halls.
 class group_plan
 {
 public:
@@ -56,7 +56,7 @@
     }
 
 private:
-    /// An engine shall hold these layers.
+    /// Assignment of a span to an engine.
     struct engine_move
     {
         const placeable_engine* engine = nullptr;
@@ -70,9 +70,9 @@
                                : predict_layer_cost(this->profile, *card, this->aim);
     }
 
-    /// The most tokens for which there is room everywhere beside the wanted copies, or fewer copies if the
-    /// cards don't hold them beside the least room. Cards that hold the model only beside less than that get
-    /// the most room that one copy leaves.
+    /// Largest token capacity that all engines can keep with the wanted copies, or with fewer copies if the
+    /// cards cannot hold them with the minimum capacity. Cards that hold the model only with less capacity
+    /// get the capacity that one copy leaves.
     [[nodiscard]] double choose_token_capacity() const
     {
         const double least = this->aim.min_requests * usual_request_tokens(this->profile);
@@ -86,8 +86,7 @@
         return std::min(least, single.value_or(least));
     }
 
-    /// True if something is about to change: a layout that is still being repaired shows nothing of what it
-    /// will carry.
+    /// True if the layout is about to change: a layout under repair does not show what it will carry.
     [[nodiscard]] bool is_changing() const
     {
         return !this->steps.empty()
@@ -95,8 +94,8 @@
                 [](const placeable_engine* engine) { return engine->is_loading || engine->is_absent; });
     }
 
-    /// True if some engine's room is nearly used up, so that callers gain by a better layout; each step to it
-    /// leads streams elsewhere, which costs those.
+    /// True if the capacity of some engine is nearly used up, so that callers benefit from a better layout.
+    /// Otherwise balancing only costs the streams that each step moves.
     [[nodiscard]] bool has_high_usage() const
     {
         return std::any_of(
@@ -105,12 +104,13 @@
             });
     }
 
-    /// For a hole that no step closes: one copy of the layers, on the engines in the order in which they hold
-    /// them, each as near to what it holds as leaves no hole. Most move by a few layers.
+    /// Closes a gap that no single step closes: lays out one copy of the layers over the engines, in the
+    /// order of their spans, with each span as close to the held one as the coverage allows. Most spans move
+    /// by a few layers.
     void lay_out_in_place()
     {
         engine_list in_order;
-        unsigned left = 0; // layers that the engines from the present one on hold at the most
+        unsigned left = 0; // upper bound of the layers on the current and the following engines
         for (const placeable_engine* engine : this->engines) {
             const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             if (size > 0) {
@@ -123,7 +123,7 @@
                 return first->held.begin + first->held.end < second->held.begin + second->held.end;
             });
         if (left < this->profile.layers) {
-            return; // no layout is whole
+            return; // no layout covers all layers
         }
         std::vector<engine_move> wanted;
         unsigned covered = 0;
@@ -143,8 +143,8 @@
         this->add_steps_towards(wanted);
     }
 
-    /// Takes the steps that give up no last holder; if there is none, all of them, as no path passes the hole
-    /// anyway.
+    /// Adds the steps that release no last holder. If there are none, adds all steps, as no path crosses the
+    /// gap anyway.
     void add_steps_towards(const std::vector<engine_move>& wanted)
     {
         layer_coverage left = this->coverage;
@@ -171,7 +171,7 @@
         this->moved.insert(engine.id);
     }
 
-    /// All engines are empty: one copy after the other, from layer 0, each engine as much as it may.
+    /// Lays out empty engines: one copy after the other, from layer 0, as many layers per engine as fit.
     void lay_out_all()
     {
         unsigned next = 0;
@@ -205,14 +205,15 @@
         }
     }
 
-    /// Layers of the holes for each of so many empty engines. Loads run side by side, so a hole is closed
-    /// sooner by several that load a little each than by one that loads all of it; they take more later.
+    /// Number of gap layers for each of `engine_count` empty engines. Loads run in parallel, so several
+    /// engines that load a few layers each close a gap sooner than one that loads all of them. They are
+    /// assigned more layers later.
     [[nodiscard]] unsigned gap_layers_per_engine(std::size_t engine_count) const
     {
         unsigned open = 0;
-        for (layer_span hole = this->coverage.find_coverage_gap(0); !hole.is_empty();
-             hole = this->coverage.find_coverage_gap(hole.end)) {
-            open += hole.count();
+        for (layer_span gap = this->coverage.find_coverage_gap(0); !gap.is_empty();
+             gap = this->coverage.find_coverage_gap(gap.end)) {
+            open += gap.count();
         }
         const auto count = static_cast<unsigned>(engine_count);
         return count == 0 ? 0 : (open + count - 1) / count;
@@ -221,40 +222,40 @@
     void extend_into_coverage_gaps()
     {
         unsigned begin = 0;
-        for (layer_span hole = this->coverage.find_coverage_gap(begin); !hole.is_empty();
-             hole = this->coverage.find_coverage_gap(begin)) {
-            this->extend_into(hole);
-            begin = hole.end;
+        for (layer_span gap = this->coverage.find_coverage_gap(begin); !gap.is_empty();
+             gap = this->coverage.find_coverage_gap(begin)) {
+            this->extend_into(gap);
+            begin = gap.end;
         }
     }
 
-    /// Closes a hole from both of its sides, each by about half, or from one side if the other can't.
-    void extend_into(const layer_span& hole)
+    /// Closes a gap from both sides, each by about half, or from one side if the other cannot.
+    void extend_into(const layer_span& gap)
     {
-        const placeable_engine* left = this->find_neighbour(hole, true);
-        const placeable_engine* right = this->find_neighbour(hole, false);
+        const placeable_engine* left = this->find_neighbour(gap, true);
+        const placeable_engine* right = this->find_neighbour(gap, false);
         const unsigned left_most = left == nullptr ? 0 : this->spare_layers(*left, true);
         const unsigned right_most = right == nullptr ? 0 : this->spare_layers(*right, false);
-        if (left_most + right_most < hole.count()) {
-            return; // a hole that is only smaller is a hole still
+        if (left_most + right_most < gap.count()) {
+            return; // a smaller gap still stops all paths
         }
-        const unsigned half = hole.count() / 2;
+        const unsigned half = gap.count() / 2;
         const unsigned from_left = std::clamp(
-            half, hole.count() - std::min(right_most, hole.count()), std::min(left_most, hole.count()));
+            half, gap.count() - std::min(right_most, gap.count()), std::min(left_most, gap.count()));
         if (from_left > 0) {
             this->place(*left, this->extend(*left, true, from_left));
         }
-        if (from_left < hole.count()) {
-            this->place(*right, this->extend(*right, false, hole.count() - from_left));
+        if (from_left < gap.count()) {
+            this->place(*right, this->extend(*right, false, gap.count() - from_left));
         }
     }
 
-    /// The engine that ends right before the hole, or begins right after it, and can take most of it.
-    [[nodiscard]] const placeable_engine* find_neighbour(const layer_span& hole, bool is_left) const
+    /// Engine whose span ends or begins at the gap and that can take most of it.
+    [[nodiscard]] const placeable_engine* find_neighbour(const layer_span& gap, bool is_left) const
     {
         const placeable_engine* best = nullptr;
         for (const placeable_engine* engine : this->engines) {
-            const bool is_beside = is_left ? engine->held.end == hole.begin : engine->held.begin == hole.end;
+            const bool is_beside = is_left ? engine->held.end == gap.begin : engine->held.begin == gap.end;
             if (!is_beside || engine->held.is_empty() || this->moved.count(engine->id) != 0) {
                 continue;
             }
@@ -272,16 +273,17 @@
             this->aim.min_requests_at_coverage_gap * usual_request_tokens(this->profile));
     }
 
-    /// Layers at the engine's far end that another one holds too, so that it may give them up.
+    /// Number of layers at the far end of the engine that have another holder, so that it may release them.
     [[nodiscard]] unsigned droppable_layers(const placeable_engine& engine, bool is_to_the_right) const
     {
         unsigned count = 0;
         while (count + 1 < engine.held.count()) {
             const unsigned layer = is_to_the_right ? engine.held.begin + count : engine.held.end - 1 - count;
-            // An engine begins to load only once no stream passes the layers that it gives up, and a stream's
-            // first engine can't be replaced: one that gave up layer 0 closed its hole after 11 s, not 4.
-            const bool is_bound = this->aim.balances && layer == 0;
-            if (is_bound || !this->coverage.is_spare(layer)) {
+            // An engine starts to load only when no stream uses the layers that it releases, and the first
+            // engine of a stream cannot be replaced: one that released layer 0 closed its gap after 11 s
+            // instead of 4 s.
+            const bool is_pinned = this->aim.balances && layer == 0;
+            if (is_pinned || !this->coverage.is_spare(layer)) {
                 break;
             }
             ++count;
@@ -289,7 +291,7 @@
         return count;
     }
 
-    /// How many layers more the engine could take beyond its end (or before its begin).
+    /// Number of layers that the engine can take beyond its end, or before its begin.
     [[nodiscard]] unsigned spare_layers(const placeable_engine& engine, bool is_to_the_right) const
     {
         const unsigned kept = engine.held.count() - this->droppable_layers(engine, is_to_the_right);
@@ -308,7 +310,7 @@
         return {engine.held.begin - more, engine.held.end - dropped};
     }
 
-    /// True if every layer of this engine has another holder.
+    /// True if every layer of the engine has another holder.
     [[nodiscard]] bool is_redundant(const placeable_engine& engine) const
     {
         if (engine.held.is_empty() || this->moved.count(engine.id) != 0) {
@@ -322,8 +324,8 @@
         return true;
     }
 
-    /// Engines behind the head move first, as streams can be led around them; then those with few layers,
-    /// which are loaded again soonest and carry least.
+    /// Engines in the order in which they may move: those without layer 0 first, as streams can be rerouted
+    /// around them, then those with few layers, which load fastest and carry least.
     [[nodiscard]] engine_list list_donors() const
     {
         engine_list donors = this->engines;
@@ -337,7 +339,7 @@
         return donors;
     }
 
-    /// Where the engine would be worth most if it held nothing.
+    /// Span with the highest value for the engine if it held nothing.
     [[nodiscard]] layer_span find_best_span(const placeable_engine& engine, unsigned size) const
     {
         layer_coverage others = this->coverage;
@@ -368,7 +370,8 @@
     std::set<upstream_id> moved;
 };
 
-/// The engines with what they hold of the model: an engine's own word may name layers beyond it.
+/// Clips the spans of the engines to the layers of the model: the entry of an engine may name layers beyond
+/// it.
 std::vector<placeable_engine> bound_to_model(
     const engine_profile& profile, const std::vector<placeable_engine>& engines)
 {
@@ -380,8 +383,8 @@
     return bounded;
 }
 
-/// The same order on every host: hall by hall, so that a copy of the layers that is laid out in this order
-/// leaves a hall once, and within a hall the cheapest cards first, so that the first copy lies on them.
+/// Sorts by hall, then by cost of the card. The order is the same on every host. A copy of the layers laid
+/// out in it leaves each hall once, and the first copy is on the cheapest cards.
 void sort_engines(const engine_profile& profile, engine_list& engines, const placement_aim& aim)
 {
     const auto rank_of = [&profile, &aim](const placeable_engine* engine) {
--- a/src/libs/placement/layoutbalance.cpp
+++ b/src/libs/placement/layoutbalance.cpp
@@ -13,37 +13,38 @@
 
 namespace {
 
-/// Requests a second below which a layer passes none; keeps the mean finite.
+/// Lower bound of a rate in requests per second, which keeps the power mean finite.
 constexpr double min_rate = 1e-3;
 constexpr double milliseconds_per_second = 1000;
-/// Holders of the first layer from which one may leave: its engine can't be replaced within a running stream.
+/// Minimum holders of layer 0 for one of them to move: the first engine of a path cannot be replaced within a
+/// running stream.
 constexpr unsigned min_first_layer_holders = 3;
 
-/// Part of a layer in the power mean of the rates, whose power is -4: a layer at half of the others' rate
-/// counts 16 times.
+/// Weight of a layer in the power mean of the rates with exponent -4: a layer at half of the rate of the
+/// others counts 16 times.
 double weigh(double rate)
 {
     const double square = std::max(rate, min_rate) * std::max(rate, min_rate);
     return 1 / (square * square);
 }
 
-/// The power mean, from the sum of its parts.
+/// Power mean from the sum of the weights.
 double mean_of(double sum, std::size_t count)
 {
     return std::sqrt(std::sqrt(static_cast<double>(count) / sum));
 }
 
-/// Searches the steps of one layout.
+/// Searches the balancing steps of one layout.
 class balance_search
 {
 public:
-    balance_search(
-        const engine_profile& profile, const engine_list& engines, double room, const balance_limits& limits)
+    balance_search(const engine_profile& profile, const engine_list& engines, double capacity,
+        const balance_limits& limits)
         : profile(profile)
         , limits(limits)
-        , room(room)
+        , capacity(capacity)
         , engines(engines)
-        , rates(profile, engines, predict_residence_ms(profile, engines, room))
+        , rates(profile, engines, predict_residence_ms(profile, engines, capacity))
         , coverage(profile.layers)
     {
         for (const placeable_engine* engine : engines) {
@@ -56,7 +57,7 @@
     {
         std::vector<placement_step> steps;
         while (steps.size() < this->limits.max_steps) {
-            const option best = this->find_best();
+            const candidate best = this->find_best();
             if (best.engine == nullptr) {
                 break;
             }
@@ -67,16 +68,16 @@
     }
 
 private:
-    struct option
+    struct candidate
     {
         const placeable_engine* engine = nullptr;
         layer_span span;
         double overall = 0;
     };
 
-    [[nodiscard]] option find_best() const
+    [[nodiscard]] candidate find_best() const
     {
-        option best;
+        candidate best;
         const double overall = this->rates.overall();
         const bool is_uneven = this->rates.weakest() < this->limits.uneven_share * this->rates.mean();
         best.overall =
@@ -103,12 +104,12 @@
         return !this->held.at(&engine).is_empty() && this->moved.count(&engine) == 0;
     }
 
-    /// The engine takes layers more from a neighbour in the path, which then gives them up: better only with
-    /// both steps done, so that none of them would be found alone.
-    void try_relief(const placeable_engine& engine, option& best) const
+    /// Tries to take layers over from a neighbour in the path, which then releases them. Only both steps
+    /// together improve the layout, so neither is found alone.
+    void try_relief(const placeable_engine& engine, candidate& best) const
     {
         const layer_span& own = this->held.at(&engine);
-        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
+        const unsigned most = count_placeable_layers(this->profile, engine, this->capacity);
         for (const placeable_engine* other : this->engines) {
             const layer_span& theirs = this->held.at(other);
             if (other == &engine || !this->may_move(*other)) {
@@ -132,12 +133,12 @@
         }
     }
 
-    /// The engine takes all layers that only a neighbour holds, which is then free to go where a layer passes
-    /// the least.
-    void try_takeover(const placeable_engine& engine, option& best) const
+    /// Tries to take over all layers that only a neighbour holds, which may then move to the layers with the
+    /// lowest rates.
+    void try_takeover(const placeable_engine& engine, candidate& best) const
     {
         const layer_span& own = this->held.at(&engine);
-        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
+        const unsigned most = count_placeable_layers(this->profile, engine, this->capacity);
         if (own.count() >= most) {
             return;
         }
@@ -154,7 +155,7 @@
             }
             layout_rates after = this->rates;
             after.move(engine, own, grown);
-            option freed;
+            candidate freed;
             freed.overall = best.overall;
             this->visit_spans(*other, [&](const layer_span& span) {
                 const double overall = after.overall_after(*other, theirs, span);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// From the first to the last of the layers that have no other holder; empty if all have one.
+    /// Smallest span that contains the layers without another holder; empty if all have one.
     [[nodiscard]] layer_span find_only_held(const layer_span& span) const
     {
         layer_span only{span.end, span.end};
@@ -183,7 +184,7 @@
     template <typename Visit>
     void visit_spans(const placeable_engine& engine, const Visit& visit) const
     {
-        const unsigned most = count_placeable_layers(this->profile, engine, this->room);
+        const unsigned most = count_placeable_layers(this->profile, engine, this->capacity);
         const auto least = static_cast<unsigned>(std::ceil(most * this->limits.min_fill_share));
         for (unsigned size = std::max(least, 1U); size <= most; ++size) {
             for (unsigned begin = 0; begin + size <= this->profile.layers; ++begin) {
@@ -192,7 +193,7 @@
         }
     }
 
-    void try_spans(const placeable_engine& engine, option& best) const
+    void try_spans(const placeable_engine& engine, candidate& best) const
     {
         const layer_span& own = this->held.at(&engine);
         this->visit_spans(engine, [&](const layer_span& span) {
@@ -206,7 +207,7 @@
         });
     }
 
-    /// True if every layer that the engine would give up has holders enough.
+    /// True if every layer that the engine would release has enough other holders.
     [[nodiscard]] bool may_leave(const layer_span& from, const layer_span& to) const
     {
         const bool leaves_head = from.holds(0) && !to.holds(0);
@@ -214,11 +215,11 @@
             && (!leaves_head || this->coverage.holder_count(0) >= min_first_layer_holders);
     }
 
-    void apply(const option& chosen)
+    void apply(const candidate& chosen)
     {
         layer_span& span = this->held.at(chosen.engine);
         this->rates.move(*chosen.engine, span, chosen.span);
-        // What it loads isn't there yet, so no later step may rely on it.
+        // The new layers are not loaded yet, so no later step may rely on them.
         this->coverage.remove_holder({span.begin, std::min(span.end, chosen.span.begin)});
         this->coverage.remove_holder({std::max(span.begin, chosen.span.end), span.end});
         span = chosen.span;
@@ -227,10 +228,10 @@
 
     const engine_profile& profile;
     const balance_limits& limits;
-    double room;
+    double capacity;
     const engine_list& engines;
     layout_rates rates;
-    layer_coverage coverage; ///< without those that would load a layer first
+    layer_coverage coverage; ///< without holders that still have to load the layer
     std::map<const placeable_engine*, layer_span> held;
     std::set<const placeable_engine*> moved;
 };
@@ -279,7 +280,8 @@
 
 void layout_rates::sum_weights()
 {
-    // Anew each time: a layer that passes nothing has so large a part that all others would be lost in it.
+    // Summed anew each time: the weight of a layer without a rate is so large that the others would be lost
+    // to rounding.
     this->parts = std::accumulate(this->rates.begin(), this->rates.end(), 0.0,
         [](double sum, double rate) { return sum + weigh(rate); });
 }
@@ -324,9 +326,9 @@
 }
 
 std::vector<placement_step> balance_layout(
-    const engine_profile& profile, const engine_list& engines, double room, const balance_limits& limits)
+    const engine_profile& profile, const engine_list& engines, double capacity, const balance_limits& limits)
 {
-    return balance_search(profile, engines, room, limits).run();
+    return balance_search(profile, engines, capacity, limits).run();
 }
 
 } // namespace sailtiller
--- a/src/libs/placement/layoutbalance.h
+++ b/src/libs/placement/layoutbalance.h
@@ -66,6 +66,6 @@
 /// layers for it, where five leave capacity for usual work, kept them: 0.60 to 0.68 of the requests met their
 /// targets until the end of the day.
 std::vector<placement_step> balance_layout(
-    const engine_profile& profile, const engine_list& engines, double room, const balance_limits& limits);
+    const engine_profile& profile, const engine_list& engines, double capacity, const balance_limits& limits);
 
 } // namespace sailtiller
--- a/src/libs/placement/placementcontroller.cpp
+++ b/src/libs/placement/placementcontroller.cpp
@@ -145,7 +145,7 @@
     std::vector<placeable_engine> engines = view.engines;
     engines.insert(engines.end(), absent.begin(), absent.end());
     if (phase == observation_phase::stable) {
-        this->last_activity = now; // a search for better layouts takes long on large deployments
+        this->last_activity = now; // the search for better layouts is slow on large deployments
         this->update_used_shares(profile, engines);
     }
     std::vector<placement_step> steps = plan_layers(profile, engines, this->settings.aim, phase);
@@ -240,7 +240,7 @@
         return;
     }
     if (result == order_result::unanswered) {
-        return; // it may have been begun; the same order is sent again
+        return; // the engine may have begun it; the same order is sent again
     }
     this->pending.erase(found);
     this->backoff_until[id] = this->hooks.timers.now() + this->settings.refusal_backoff;
--- a/tests/auto/placement/tst_layerplan.cpp
+++ b/tests/auto/placement/tst_layerplan.cpp
@@ -74,8 +74,8 @@
         make_engine("b", "x", "big"), make_engine("c", "x", "small"), make_engine("d", "x", "small")});
     for (const placeable_engine& engine : engines) {
         const card_kind& card = this->profile.kinds.at(engine.card);
-        const double room = this->aim.min_requests * 100 * this->profile.token_layer_mb();
-        EXPECT_LE(engine.held.count() * (this->profile.layer_mb + room), card.memory_mb) << engine.id;
+        const double capacity = this->aim.min_requests * 100 * this->profile.token_layer_mb();
+        EXPECT_LE(engine.held.count() * (this->profile.layer_mb + capacity), card.memory_mb) << engine.id;
     }
 }
 
--- a/tests/auto/placement/tst_layoutbalance.cpp
+++ b/tests/auto/placement/tst_layoutbalance.cpp
@@ -42,7 +42,7 @@
 
     std::vector<placement_step> find_steps()
     {
-        return balance_layout(this->profile, this->list(), this->room, this->limits);
+        return balance_layout(this->profile, this->list(), this->capacity, this->limits);
     }
 
     void carry_out(const std::vector<placement_step>& steps)
@@ -70,7 +70,7 @@
 
     static constexpr double residence_ms = 1000;
     engine_profile profile = tests::make_sample_profile();
-    double room = 2; // tokens
+    double capacity = 2; // tokens
     balance_limits limits;
     std::vector<placeable_engine> engines;
 };
