--- a/tests/auto/health/tst_stalldetector.cpp
+++ b/tests/auto/health/tst_stalldetector.cpp
@@ -43,7 +43,7 @@
         this->watch->start();
     }
 
-    /// Time passes in the watch's own steps; the named streams get an event at each `gap`.
+    /// Advances the clock in check intervals; the `moving` streams get an event at each `gap`.
     void pass(duration time, const std::vector<stall_detector::stream_key>& moving = {}, duration gap = 20ms)
     {
         const time_point end = this->now + time;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds a stream and lets it have events until its gaps are known, as the other named ones have.
+    /// Adds a stream and sends events on it and on the `moving` ones until its gaps are known.
     stall_detector::stream_key add_moving(std::initializer_list<const char*> names, duration gap = 20ms,
         std::vector<stall_detector::stream_key> moving = {})
     {
@@ -67,7 +67,7 @@
         return moving.back();
     }
 
-    /// How long the stream may be silent before something is probed.
+    /// Time for which the stream is silent before a probe is sent.
     duration silence_until_probe()
     {
         const time_point start = this->now;
@@ -87,7 +87,7 @@
     std::unique_ptr<stall_detector> watch;
 };
 
-TEST_F(stall_detector_test, only_what_no_moving_stream_passes_is_suspected)
+TEST_F(stall_detector_test, suspects_only_stages_without_progressing_streams)
 {
     const auto first = this->watch->add(parts({"head", "shared", "broken"}), usual_path());
     const auto second = this->watch->add(parts({"head", "shared", "sound"}), usual_path());
@@ -96,7 +96,7 @@
     EXPECT_EQ(this->probed, std::vector<std::string>{"broken"});
 }
 
-TEST_F(stall_detector_test, patience_follows_from_the_gaps_that_were_seen)
+TEST_F(stall_detector_test, silence_limit_follows_observed_gaps)
 {
     this->add_moving({"a"}, 20ms);
     const duration fast = this->silence_until_probe();
@@ -104,15 +104,15 @@
     EXPECT_GE(fast, 30ms);
 }
 
-TEST_F(stall_detector_test, engines_that_give_an_event_every_hundred_milliseconds_are_no_suspects)
+TEST_F(stall_detector_test, engine_with_an_event_every_100_ms_is_not_suspected)
 {
     const auto key = this->add_moving({"a"}, 100ms);
     this->pass(20s, {key}, 100ms);
     EXPECT_TRUE(this->probed.empty());
-    EXPECT_LE(this->silence_until_probe(), 160ms) << "half of a usual gap more";
+    EXPECT_LE(this->silence_until_probe(), 160ms) << "1.5 usual gaps";
 }
 
-TEST_F(stall_detector_test, jittery_gaps_are_waited_for)
+TEST_F(stall_detector_test, irregular_gaps_are_tolerated)
 {
     const auto key = this->watch->add(parts({"a"}), usual_path());
     for (int turn = 0; turn < 100; ++turn) {
@@ -122,7 +122,7 @@
     EXPECT_TRUE(this->probed.empty());
 }
 
-TEST_F(stall_detector_test, what_one_path_showed_holds_for_the_first_gap_on_another)
+TEST_F(stall_detector_test, gaps_of_one_path_predict_first_gap_of_another)
 {
     const auto first = this->add_moving({"a"}, 20ms); // ten times the time of a token
     stream_expectation slower = usual_path();
@@ -136,9 +136,9 @@
     EXPECT_EQ(this->probed, std::vector<std::string>{"b"});
 }
 
-TEST_F(stall_detector_test, several_streams_that_are_silent_together_are_believed_sooner)
+TEST_F(stall_detector_test, jointly_silent_streams_raise_suspicion_sooner)
 {
-    // Gaps of 20 and 60 ms by turns: one of them alone is waited for much longer.
+    // Alternating gaps of 20 and 60 ms: a single stream is tolerated much longer.
     std::vector<stall_detector::stream_key> keys;
     keys.reserve(3);
     for (int count = 0; count < 3; ++count) {
@@ -157,13 +157,13 @@
     this->answers["a"](1.0);
     this->watch->remove(keys.back());
     keys.pop_back();
-    this->pass(1s, keys, 60ms); // it was asked a moment ago
+    this->pass(1s, keys, 60ms); // it was probed recently
     move_all();
     this->probed.clear();
     EXPECT_LT(together, this->silence_until_probe());
 }
 
-TEST_F(stall_detector_test, a_suspect_that_gives_no_answer_is_dead_while_others_live)
+TEST_F(stall_detector_test, unanswering_suspect_is_dead_while_others_respond)
 {
     const auto sound = this->add_moving({"b"});
     const auto silent = this->watch->add(parts({"a"}), usual_path());
@@ -176,7 +176,7 @@
     EXPECT_TRUE(this->watch->is_dead(upstream_id("a")));
 }
 
-TEST_F(stall_detector_test, a_host_that_hears_nobody_condemns_nobody)
+TEST_F(stall_detector_test, isolated_host_marks_no_upstream_dead)
 {
     const auto first = this->add_moving({"a", "b"});
     this->add_moving({"c", "d"}, 20ms, {first});
@@ -185,7 +185,7 @@
     EXPECT_TRUE(this->dead.empty());
 }
 
-TEST_F(stall_detector_test, a_stall_on_a_path_that_moves_for_others_is_looked_for_in_all_its_parts)
+TEST_F(stall_detector_test, stall_on_progressing_path_probes_all_stages)
 {
     const auto slow = this->watch->add(parts({"a", "b"}), usual_path());
     const auto quick = this->watch->add(parts({"a", "b"}), usual_path());
@@ -196,10 +196,10 @@
     this->answers["b"](12.0);
     EXPECT_EQ(this->paces["b"], 12.0);
     this->pass(900ms, {quick});
-    EXPECT_EQ(this->probed.size(), 2U) << "each has answered a moment ago";
+    EXPECT_EQ(this->probed.size(), 2U) << "both have answered recently";
 }
 
-TEST_F(stall_detector_test, tells_whether_streams_moved_over_an_upstream_lately)
+TEST_F(stall_detector_test, reports_recent_progress_over_upstream)
 {
     const auto key = this->watch->add(parts({"a", "b"}), usual_path());
     EXPECT_FALSE(this->watch->has_progressed(upstream_id("a"), this->now));
@@ -214,7 +214,7 @@
     EXPECT_FALSE(this->watch->is_progressing(upstream_id("b")));
 }
 
-TEST_F(stall_detector_test, a_stream_is_not_suspicious_before_its_first_event_is_due)
+TEST_F(stall_detector_test, stream_is_not_silent_before_first_event_is_due)
 {
     stream_expectation long_prompt = usual_path();
     long_prompt.reading = 300ms;
@@ -225,7 +225,7 @@
     EXPECT_EQ(this->probed.front(), "a");
 }
 
-TEST_F(stall_detector_test, a_first_event_is_due_as_soon_as_others_had_theirs)
+TEST_F(stall_detector_test, first_event_limit_follows_other_streams)
 {
     for (int count = 0; count < 20; ++count) {
         const auto key = this->watch->add(parts({"a"}), usual_path());
@@ -241,7 +241,7 @@
     EXPECT_EQ(this->probed.front(), "a");
 }
 
-TEST_F(stall_detector_test, a_stream_that_was_just_sent_proves_nothing_about_its_path)
+TEST_F(stall_detector_test, new_stream_does_not_clear_its_path)
 {
     const auto first = this->watch->add(parts({"a", "b"}), usual_path());
     this->pass(400ms, {first});
@@ -251,7 +251,7 @@
     EXPECT_EQ(this->probed.size(), 2U);
 }
 
-TEST_F(stall_detector_test, a_pause_of_the_process_itself_condemns_nobody)
+TEST_F(stall_detector_test, stall_of_own_process_marks_no_upstream_dead)
 {
     const auto first = this->add_moving({"a"});
     this->now += 3s;
@@ -264,10 +264,10 @@
     this->watch->remove(first);
 }
 
-TEST_F(stall_detector_test, a_host_whose_loop_stands_still_time_and_again_probes_nothing)
+TEST_F(stall_detector_test, repeatedly_stalled_host_sends_no_probes)
 {
     const auto key = this->add_moving({"a"});
-    // Its share of a processor lasts for 10 ms of each 100, in which it also reads what came meanwhile.
+    // The process runs for 10 ms of each 100 ms and then also reads the events that arrived meanwhile.
     for (int turn = 0; turn < 50; ++turn) {
         this->now += 90ms;
         this->timers.run_due(this->now);
@@ -278,7 +278,7 @@
     EXPECT_TRUE(this->dead.empty());
 }
 
-TEST_F(stall_detector_test, a_changed_path_and_a_finished_stream_are_not_suspicious)
+TEST_F(stall_detector_test, changed_path_and_finished_stream_are_not_suspected)
 {
     const auto first = this->add_moving({"a"});
     const auto second = this->add_moving({"b"}, 20ms, {first});
@@ -290,7 +290,7 @@
     EXPECT_TRUE(this->probed.empty());
 }
 
-TEST_F(stall_detector_test, the_gap_across_a_change_of_path_is_no_usual_one)
+TEST_F(stall_detector_test, gap_across_path_change_is_not_recorded)
 {
     const auto key = this->add_moving({"a"});
     this->watch->change_path(key, parts({"b"}), usual_path());
--- a/tests/auto/health/tst_upstreamprobes.cpp
+++ b/tests/auto/health/tst_upstreamprobes.cpp
@@ -52,7 +52,7 @@
 
     void answer(const std::string& id, std::optional<double> pace) { this->answers.at(id)(pace); }
 
-    /// Probes that are answered after a time, until the limit has adapted.
+    /// Sends probes that are answered after `time`, until the answer limit has adapted.
     void see_answers_after(duration time)
     {
         for (int count = 0; count < 20; ++count) {
@@ -60,7 +60,7 @@
             this->probes->ask(upstream_id(id));
             this->now += time;
             this->answer(id, 1.0);
-            this->now += 2s; // the budget fills
+            this->now += 2s; // refills the budget
         }
         this->sent.clear();
     }
@@ -76,10 +76,10 @@
     bool is_assigned_prober = true;
     std::optional<upstream_id> other{"elsewhere"};
     std::unique_ptr<upstream_probes> probes;
-    std::vector<std::vector<upstream_id>> told; ///< the verdicts, as they came together
+    std::vector<std::vector<upstream_id>> told; ///< the verdicts of each call
 };
 
-TEST_F(upstream_probes_test, one_without_an_answer_is_dead_in_some_tens_of_milliseconds)
+TEST_F(upstream_probes_test, unanswering_upstream_is_dead_within_40_ms)
 {
     EXPECT_TRUE(this->probes->ask(a));
     this->pass(20ms);
@@ -89,8 +89,9 @@
     EXPECT_TRUE(this->probes->is_dead(a));
 }
 
-// Evidence: streams moved from one upstream to another that was condemned 0.3 ms later, in the same look.
-TEST_F(upstream_probes_test, verdicts_of_one_look_are_all_known_before_the_first_is_told)
+// Guards against streams that move from one dead upstream to another one that is marked dead in the same
+// check.
+TEST_F(upstream_probes_test, verdicts_of_one_check_are_reported_together)
 {
     this->probes->ask(a);
     this->probes->ask(b);
@@ -100,26 +101,26 @@
     EXPECT_EQ(this->told[0], (std::vector{a, b}));
 }
 
-TEST_F(upstream_probes_test, the_time_for_an_answer_follows_those_that_came)
+TEST_F(upstream_probes_test, answer_limit_follows_observed_answers)
 {
     this->see_answers_after(2ms);
-    EXPECT_EQ(this->probes->answer_limit(), 20ms) << "no less, as timers run late";
+    EXPECT_EQ(this->probes->answer_limit(), 20ms) << "lower bound, as timers run late";
     this->see_answers_after(60ms);
     EXPECT_GE(this->probes->answer_limit(), 60ms);
     EXPECT_LE(this->probes->answer_limit(), 120ms);
 }
 
-TEST_F(upstream_probes_test, without_a_sign_of_life_from_others_there_is_no_verdict)
+TEST_F(upstream_probes_test, no_verdict_without_sign_of_life_from_others)
 {
     this->has_other_progressed = false;
     this->probes->ask(a);
     this->pass(2s);
-    EXPECT_TRUE(this->dead.empty()) << "this host hears nobody";
+    EXPECT_TRUE(this->dead.empty()) << "this host has lost its connectivity";
     EXPECT_NE(std::find(this->sent.begin(), this->sent.end(), "elsewhere"), this->sent.end())
-        << "somebody else was asked";
+        << "another upstream was probed";
 }
 
-TEST_F(upstream_probes_test, an_answer_of_another_one_is_the_second_sign)
+TEST_F(upstream_probes_test, answer_of_other_upstream_confirms_verdict)
 {
     this->has_other_progressed = false;
     this->probes->ask(a);
@@ -130,7 +131,7 @@
     EXPECT_EQ(this->dead, std::vector<std::string>{"a"});
 }
 
-TEST_F(upstream_probes_test, the_only_upstream_there_is_can_be_found_dead)
+TEST_F(upstream_probes_test, only_upstream_can_be_found_dead)
 {
     this->has_other_progressed = false;
     this->other.reset();
@@ -139,7 +140,7 @@
     EXPECT_EQ(this->dead, std::vector<std::string>{"a"});
 }
 
-TEST_F(upstream_probes_test, a_stream_that_moves_over_it_goes_before_a_lost_answer)
+TEST_F(upstream_probes_test, progressing_stream_outweighs_lost_answer)
 {
     this->probes->ask(a);
     this->moved = "a";
@@ -147,7 +148,7 @@
     EXPECT_TRUE(this->dead.empty());
 }
 
-TEST_F(upstream_probes_test, time_in_which_the_process_stood_still_counts_against_nobody)
+TEST_F(upstream_probes_test, stall_of_own_process_extends_deadlines)
 {
     this->probes->ask(a);
     this->now += 5s;
@@ -158,7 +159,7 @@
     EXPECT_EQ(this->dead.size(), 1U);
 }
 
-TEST_F(upstream_probes_test, an_answer_after_the_verdict_revives_it)
+TEST_F(upstream_probes_test, late_answer_marks_upstream_alive)
 {
     this->probes->ask(a);
     this->pass(50ms);
@@ -168,7 +169,7 @@
     EXPECT_EQ(this->paces["a"], 1.0);
 }
 
-TEST_F(upstream_probes_test, a_dead_one_is_asked_again_until_it_answers)
+TEST_F(upstream_probes_test, dead_upstream_is_probed_until_it_answers)
 {
     this->probes->ask(a);
     this->pass(50ms);
@@ -178,7 +179,7 @@
     this->pass(60ms);
     EXPECT_EQ(this->sent.size(), 2U);
     this->pass(60ms);
-    EXPECT_EQ(this->dead.size(), 2U) << "each probe without answer tells it anew";
+    EXPECT_EQ(this->dead.size(), 2U) << "reported for each probe without an answer";
     this->pass(500ms);
     ASSERT_EQ(this->sent.size(), 3U);
     this->answer("a", 1.0);
@@ -187,7 +188,7 @@
     EXPECT_EQ(this->sent.size(), 3U);
 }
 
-TEST_F(upstream_probes_test, a_host_that_does_not_watch_it_leaves_that_to_others)
+TEST_F(upstream_probes_test, unassigned_host_does_not_probe_dead_upstream)
 {
     this->is_assigned_prober = false;
     this->probes->ask(a);
@@ -195,13 +196,13 @@
     EXPECT_TRUE(this->probes->is_dead(a));
     this->probes->note_reported_dead(a);
     this->pass(1s);
-    EXPECT_TRUE(this->probes->is_dead(a)) << "they tell that it is dead still";
+    EXPECT_TRUE(this->probes->is_dead(a)) << "renewed by reports of other hosts";
     this->pass(1s);
-    EXPECT_FALSE(this->probes->is_dead(a)) << "nobody says so any more";
+    EXPECT_FALSE(this->probes->is_dead(a)) << "the reports have expired";
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(upstream_probes_test, a_watcher_asks_what_others_found_dead)
+TEST_F(upstream_probes_test, assigned_prober_probes_reported_death)
 {
     this->probes->note_reported_dead(a);
     EXPECT_EQ(this->sent, std::vector<std::string>{"a"});
@@ -210,7 +211,7 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(upstream_probes_test, the_newer_of_own_verdict_and_told_answer_counts)
+TEST_F(upstream_probes_test, newer_of_verdict_and_reported_answer_applies)
 {
     this->probes->ask(a);
     const time_point asked = this->now;
@@ -220,10 +221,10 @@
     this->probes->note_reported_alive(a, 3.0, this->now + 1ms);
     EXPECT_FALSE(this->probes->is_dead(a));
     EXPECT_EQ(this->paces["a"], 3.0);
-    EXPECT_FALSE(this->probes->ask(a)) << "it has answered another host a moment ago";
+    EXPECT_FALSE(this->probes->ask(a)) << "it has answered another host recently";
 }
 
-TEST_F(upstream_probes_test, a_slow_one_is_asked_until_it_is_sound_again)
+TEST_F(upstream_probes_test, slow_upstream_is_probed_until_it_recovers)
 {
     this->probes->ask(a);
     this->answer("a", 4.0);
@@ -235,7 +236,7 @@
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(upstream_probes_test, one_that_answered_is_left_alone_for_a_second)
+TEST_F(upstream_probes_test, answered_upstream_is_not_probed_for_a_second)
 {
     this->probes->ask(a);
     this->answer("a", 1.0);
@@ -245,7 +246,7 @@
     EXPECT_TRUE(this->probes->ask(a));
 }
 
-TEST_F(upstream_probes_test, the_budget_bounds_what_one_host_and_all_together_ask)
+TEST_F(upstream_probes_test, budget_limits_probes_of_host_and_fleet)
 {
     const auto ask_many = [this] {
         std::size_t count = 0;
@@ -257,10 +258,10 @@
     EXPECT_EQ(ask_many(), 32U) << "a hall may fall dark at once";
     this->probes->set_live_hosts(60);
     this->now += 3s;
-    EXPECT_EQ(ask_many(), 6U) << "120 a second over 60 hosts";
+    EXPECT_EQ(ask_many(), 6U) << "120 per second over 60 hosts";
 }
 
-TEST_F(upstream_probes_test, one_that_no_longer_exists_is_forgotten)
+TEST_F(upstream_probes_test, removed_upstream_is_forgotten)
 {
     this->probes->ask(a);
     this->pass(50ms);
@@ -269,17 +270,18 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST(reported_deaths, two_hosts_must_say_it_where_there_are_as_many)
+TEST(reported_deaths, two_reports_are_needed_with_enough_hosts)
 {
     reported_deaths told;
     const time_point now{100s};
-    EXPECT_TRUE(told.note(a, host_id("x"), now + 1s, now).has_value()) << "hardly anybody else is there";
+    EXPECT_TRUE(told.note(a, host_id("x"), now + 1s, now).has_value()) << "one report suffices for few hosts";
     told.clear(a);
     told.set_live_hosts(60);
     EXPECT_FALSE(told.note(a, host_id("x"), now + 1s, now).has_value());
-    EXPECT_FALSE(told.note(a, host_id("x"), now + 2s, now).has_value()) << "the same one again";
-    EXPECT_EQ(told.note(a, host_id("y"), now + 1s, now), now + 1s) << "until the second word ends";
-    EXPECT_FALSE(told.note(a, host_id("z"), now + 9s, now + 5s).has_value()) << "the others' have ended";
+    EXPECT_FALSE(told.note(a, host_id("x"), now + 2s, now).has_value()) << "same reporter again";
+    EXPECT_EQ(told.note(a, host_id("y"), now + 1s, now), now + 1s) << "until the second report expires";
+    EXPECT_FALSE(told.note(a, host_id("z"), now + 9s, now + 5s).has_value())
+        << "the other reports have expired";
     EXPECT_TRUE(told.note(a, host_id("x"), now + 9s, now + 5s).has_value());
     told.clear(a);
     EXPECT_FALSE(told.note(a, host_id("y"), now + 9s, now + 5s).has_value());
--- a/tests/auto/placement/tst_hallgroups.cpp
+++ b/tests/auto/placement/tst_hallgroups.cpp
@@ -15,7 +15,8 @@
 
 using tests::make_sample_profile;
 
-/// Pipe on which joined halls serve more than halls with little room, in the sample profile's cards.
+/// Pipe with which joined halls serve more than halls with little capacity, for the cards of the sample
+/// profile.
 constexpr double wide_pipe_mbps = 1e6;
 
 class hall_groups_test : public testing::Test
@@ -24,7 +25,7 @@
     void add(const std::string& hall, const std::string& card, unsigned count)
     {
         for (unsigned number = 0; number < count; ++number) {
-            // Names of one hall don't follow each other.
+            // Ids of engines of one hall are not adjacent.
             const std::string id = "e" + std::to_string(this->engines.size());
             this->engines.push_back({upstream_id(id), data_hall_id(hall), card, {}});
         }
@@ -44,8 +45,8 @@
         return groups;
     }
 
-    /// Carries the plan out and counts how often the layers of one copy go from hall to hall, at the least:
-    /// the cheapest way over the layers, where a step to a holder in another hall costs one.
+    /// Applies the plan and returns the minimum number of hall crossings of a path over all layers: the
+    /// cheapest path, where a step to a holder in another hall costs one.
     [[nodiscard]] unsigned count_least_crossings() const
     {
         std::vector<placeable_engine> placed = this->engines;
@@ -85,16 +86,16 @@
     std::vector<placeable_engine> engines;
 };
 
-TEST_F(hall_groups_test, halls_that_hold_the_model_with_room_stand_alone)
+TEST_F(hall_groups_test, hall_with_enough_capacity_forms_own_group)
 {
     this->add("x", "big", 4);
     this->add("y", "big", 4);
     EXPECT_EQ(this->list_groups(), (groups{{"x"}, {"y"}}));
 }
 
-// Two big cards hold the 16 layers beside 25 requests, of which 30 are wanted. Apart they serve 757 requests
-// a second each; joined, no more than the 109 whose prompts come through the pipe.
-TEST_F(hall_groups_test, halls_with_little_room_stay_apart_where_the_pipe_carries_less)
+// Two big cards hold the 16 layers with capacity for 25 requests, below the aim of 30. Separate halls serve
+// 757 requests per second each; joined halls serve at most the 109 whose prompts fit through the pipe.
+TEST_F(hall_groups_test, small_halls_stay_separate_over_narrow_pipe)
 {
     this->add("x", "big", 2);
     this->add("y", "big", 2);
@@ -102,7 +103,7 @@
     EXPECT_EQ(this->count_least_crossings(), 0U);
 }
 
-TEST_F(hall_groups_test, halls_with_little_room_are_joined_over_a_wide_pipe)
+TEST_F(hall_groups_test, small_halls_are_joined_over_wide_pipe)
 {
     this->profile.hall_pipe_mbps = wide_pipe_mbps;
     this->add("x", "big", 2);
@@ -110,7 +111,7 @@
     EXPECT_EQ(this->list_groups(), (groups{{"x", "y"}}));
 }
 
-TEST_F(hall_groups_test, halls_that_do_not_hold_the_model_are_joined_by_as_few_as_suffice)
+TEST_F(hall_groups_test, halls_without_whole_model_are_joined_with_fewest_others)
 {
     this->add("strong", "big", 6);
     this->add("u", "big", 1);
@@ -120,24 +121,24 @@
     EXPECT_EQ(this->list_groups(), (groups{{"strong"}, {"u", "x"}, {"v", "w"}}));
 }
 
-TEST_F(hall_groups_test, the_largest_hall_takes_the_smallest_that_suffices)
+TEST_F(hall_groups_test, largest_hall_is_joined_with_smallest_sufficient_one)
 {
     this->add("large", "big", 1);
-    this->add("large", "small", 1); // 13 of 16 layers at the least
+    this->add("large", "small", 1); // at least 13 of 16 layers
     this->add("middle", "big", 1);
     this->add("tiny", "small", 1);
     this->add("tiny2", "small", 2);
     EXPECT_EQ(this->list_groups(), (groups{{"large", "tiny"}, {"middle", "tiny2"}}));
 }
 
-TEST_F(hall_groups_test, what_is_left_over_stands_by_itself)
+TEST_F(hall_groups_test, remaining_hall_forms_own_group)
 {
     this->add("x", "big", 4);
     this->add("y", "small", 1);
     EXPECT_EQ(this->list_groups(), (groups{{"x"}, {"y"}}));
 }
 
-TEST_F(hall_groups_test, a_copy_over_joined_halls_leaves_each_hall_once)
+TEST_F(hall_groups_test, copy_over_joined_halls_leaves_each_hall_once)
 {
     for (int round = 0; round < 4; ++round) {
         this->add("x", "small", 1);
@@ -149,9 +150,9 @@
     EXPECT_LE(this->count_least_crossings(), 2U);
 }
 
-// Forty drawn deployments: a hall that holds the model beside three requests, whichever cards it has, needs
-// no other one, and the joined ones cross no more often than they have halls.
-TEST_F(hall_groups_test, drawn_deployments_cross_no_more_often_than_they_must)
+// Forty random deployments: a hall that holds the model with capacity for three requests needs no other hall,
+// and paths of joined halls cross at most as often as there are halls.
+TEST_F(hall_groups_test, random_deployments_have_minimal_hall_crossings)
 {
     constexpr unsigned drawn = 40;
     for (unsigned seed = 0; seed < drawn; ++seed) {
@@ -178,23 +179,24 @@
     }
 }
 
-TEST(group_rate_test, a_group_serves_the_least_of_room_reading_slots_and_pipe)
+TEST(group_rate_test, group_rate_is_minimum_of_capacity_prompts_slots_and_pipe)
 {
     engine_profile profile = make_sample_profile();
     const std::vector<placeable_engine> engines{
         {upstream_id("a"), data_hall_id("x"), "big", {}}, {upstream_id("b"), data_hall_id("y"), "big", {}}};
     const engine_list group{&engines[0], &engines[1]};
-    // 80 tokens of 10,000 B each through seven tenths of 1,000 Mbit/s.
+    // 80 tokens of 10,000 B each through 0.7 of 1,000 Mbit/s.
     EXPECT_NEAR(predict_group_rate(profile, group, 2), 0.7 * 1e9 / (80 * 10'000 * 8), 0.1);
-    // 25 requests at once, each 0.8 ms of reading and 20 tokens of 1 ms and two hops of 0.3 ms.
+    // 25 concurrent requests, each with 0.8 ms of prompt processing and 20 tokens of 1 ms plus two hops of
+    // 0.3 ms.
     const double rate_by_capacity = 25 / 0.0328;
     EXPECT_NEAR(predict_group_rate(profile, group, 1), rate_by_capacity, rate_by_capacity / 100);
     profile.request_slots = 5;
     EXPECT_NEAR(predict_group_rate(profile, group, 1), rate_by_capacity / 5, rate_by_capacity / 100);
-    profile.prompt_tokens_per_s = 1000; // each half of the layers reads for 40 ms
+    profile.prompt_tokens_per_s = 1000; // each half of the layers processes the prompt in 40 ms
     profile.request_slots = 0;
     EXPECT_NEAR(predict_group_rate(profile, group, 1), 25, 0.1);
-    EXPECT_EQ(predict_group_rate(profile, {group.front()}, 1), 0) << "half of the layers";
+    EXPECT_EQ(predict_group_rate(profile, {group.front()}, 1), 0) << "holds half of the layers";
 }
 
 } // namespace
--- a/tests/auto/placement/tst_layerplan.cpp
+++ b/tests/auto/placement/tst_layerplan.cpp
@@ -18,7 +18,7 @@
     return {upstream_id(id), data_hall_id(hall), card, held};
 }
 
-/// The engines as they are once the steps are done.
+/// The engines after the steps.
 std::vector<placeable_engine> carry_out(
     std::vector<placeable_engine> engines, const std::vector<placement_step>& steps)
 {
@@ -50,7 +50,7 @@
     std::vector<placement_step> steps;
 };
 
-TEST_F(layer_plan_test, fresh_engines_hold_every_layer_in_each_hall)
+TEST_F(layer_plan_test, empty_engines_get_every_layer_in_each_hall)
 {
     std::vector<placeable_engine> engines;
     for (const char* hall : {"x", "y"}) {
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_F(layer_plan_test, no_engine_gets_more_than_its_card_holds_beside_the_room)
+TEST_F(layer_plan_test, spans_leave_minimum_capacity_on_each_card)
 {
     const std::vector<placeable_engine> engines = this->plan({make_engine("a", "x", "big"),
         make_engine("b", "x", "big"), make_engine("c", "x", "small"), make_engine("d", "x", "small")});
@@ -79,14 +79,14 @@
     }
 }
 
-TEST_F(layer_plan_test, halls_that_can_not_hold_the_model_alone_share_it)
+TEST_F(layer_plan_test, small_halls_share_one_copy)
 {
     const std::vector<placeable_engine> engines =
         this->plan({make_engine("a", "x", "big"), make_engine("b", "y", "big")});
     EXPECT_EQ(this->least_holders(engines), 1U);
 }
 
-TEST_F(layer_plan_test, an_empty_engine_gets_what_nobody_holds)
+TEST_F(layer_plan_test, empty_engine_gets_coverage_gap)
 {
     const std::vector<placeable_engine> engines = this->plan({make_engine("a", "x", "big", {0, 8}),
         make_engine("b", "x", "big", {8, 13}), make_engine("c", "x", "small")});
@@ -95,17 +95,17 @@
     EXPECT_EQ(this->steps[0].id.value(), "c");
 }
 
-TEST_F(layer_plan_test, a_hole_is_closed_by_the_holders_beside_it)
+TEST_F(layer_plan_test, coverage_gap_is_closed_by_adjacent_holders)
 {
     const std::vector<placeable_engine> engines = this->plan({make_engine("a", "x", "big", {0, 7}),
         make_engine("b", "x", "big", {9, 16}), make_engine("c", "x", "small", {0, 3})});
     EXPECT_GE(this->least_holders(engines), 1U);
     for (const placement_step& step : this->steps) {
-        EXPECT_NE(step.id.value(), "c") << "moved whole, though its neighbours had room";
+        EXPECT_NE(step.id.value(), "c") << "moved although adjacent holders had capacity";
     }
 }
 
-TEST_F(layer_plan_test, a_hole_without_neighbours_that_have_room_takes_a_doubled_holder)
+TEST_F(layer_plan_test, redundant_holder_moves_if_adjacent_ones_lack_capacity)
 {
     const std::vector<placeable_engine> engines =
         this->plan({make_engine("a", "x", "big", {0, 8}), make_engine("b", "x", "big", {8, 13}),
@@ -113,9 +113,9 @@
     EXPECT_GE(this->least_holders(engines), 1U);
 }
 
-TEST_F(layer_plan_test, a_holder_behind_the_head_is_moved_before_one_of_layer_0)
+TEST_F(layer_plan_test, holder_without_layer_0_moves_first)
 {
-    // The hole lies beside nobody that could take it, and one small engine is enough for it.
+    // No adjacent holder can take the gap, and one small engine suffices for it.
     this->plan({make_engine("a", "x", "big", {0, 8}), make_engine("b", "x", "big", {8, 12}),
         make_engine("c", "x", "small", {0, 4}), make_engine("d", "x", "small", {4, 8}),
         make_engine("e", "x", "small", {15, 16})});
@@ -125,7 +125,7 @@
     }
 }
 
-TEST_F(layer_plan_test, the_last_holder_of_a_layer_never_gives_it_up)
+TEST_F(layer_plan_test, last_holder_keeps_its_layer)
 {
     const std::vector<placeable_engine> before = {
         make_engine("a", "x", "big", {0, 9}), make_engine("b", "x", "small", {12, 16})};
@@ -136,9 +136,9 @@
     }
 }
 
-TEST_F(layer_plan_test, layers_beyond_the_models_are_passed_over)
+TEST_F(layer_plan_test, layers_beyond_the_model_are_ignored)
 {
-    // An entry is the engine's own word; whatever it says, the plan is for the model's 16 layers.
+    // Entries come from the engines and may be wrong; the plan covers the 16 layers of the model.
     this->plan({make_engine("a", "x", "big", {4, 40}), make_engine("b", "x", "big", {4, 16}),
         make_engine("c", "x", "big", {4, 16})});
     for (const placement_step& step : this->steps) {
@@ -147,14 +147,14 @@
     EXPECT_FALSE(this->steps.empty()) << "layers 0 to 4 have no holder";
 }
 
-TEST_F(layer_plan_test, a_sound_placement_stays_as_it_is)
+TEST_F(layer_plan_test, complete_layout_is_unchanged)
 {
     this->plan({make_engine("a", "x", "big", {0, 8}), make_engine("b", "x", "big", {8, 16}),
         make_engine("c", "x", "small", {0, 4})});
     EXPECT_TRUE(this->steps.empty());
 }
 
-TEST_F(layer_plan_test, an_unknown_card_gets_nothing)
+TEST_F(layer_plan_test, unknown_card_gets_no_layers)
 {
     this->plan({make_engine("a", "x", "big"), make_engine("b", "x", "big"), make_engine("c", "x", "odd")});
     for (const placement_step& step : this->steps) {
@@ -162,7 +162,7 @@
     }
 }
 
-TEST_F(layer_plan_test, many_engines_hold_more_copies_rather_than_ever_thinner_ranges)
+TEST_F(layer_plan_test, many_engines_hold_more_copies_instead_of_shorter_spans)
 {
     constexpr int count = 160;
     std::vector<placeable_engine> engines;
@@ -176,9 +176,9 @@
     }
 }
 
-TEST_F(layer_plan_test, the_first_copy_lies_on_the_cards_that_cost_a_request_least)
+TEST_F(layer_plan_test, first_copy_is_on_cheapest_cards)
 {
-    // Steps take a little less on the small cards, but their few layers make for many hops.
+    // Steps are slightly faster on the small cards, but their short spans cause many hops.
     this->profile.kinds["small"].step_factor = 0.95 * this->profile.kinds["big"].step_factor;
     std::vector<placeable_engine> engines{make_engine("a", "x", "big"), make_engine("b", "x", "big"),
         make_engine("c", "x", "small"), make_engine("d", "x", "small")};
@@ -187,16 +187,16 @@
     EXPECT_EQ(engines[1].held.begin, engines[0].held.end);
 }
 
-TEST_F(layer_plan_test, an_empty_engine_stands_in_for_slower_ones)
+TEST_F(layer_plan_test, empty_engine_doubles_layers_of_slow_ones)
 {
-    // Every layer has one holder; only those of the second half are slow.
+    // Every layer has one holder; the holders of the second half are slow.
     const std::vector<placeable_engine> engines = this->plan({make_engine("a", "x", "big", {0, 8}),
         make_engine("b", "x", "small", {8, 12}), make_engine("c", "x", "small", {12, 16}),
         make_engine("d", "x", "small", {0, 4}), make_engine("new", "x", "big")});
     EXPECT_GE(engines[4].held.begin, 8U);
 }
 
-TEST_F(layer_plan_test, single_losses_leave_every_layer_with_a_holder_again)
+TEST_F(layer_plan_test, every_layer_has_holder_after_single_loss)
 {
     std::vector<placeable_engine> engines;
     for (int number = 0; number < 4; ++number) {
@@ -211,9 +211,10 @@
     }
 }
 
-// A hall that holds the 16 layers with little room loses three of its four engines, which come back one after
-// the other.
-TEST_F(layer_plan_test, engines_that_come_back_one_by_one_hold_every_layer_again)
+// A hall that holds the 16 layers with little capacity loses three of its four engines, which come back one
+// after the other. If the first ones take shares as if the others were gone, a layer is left without a
+// holder.
+TEST_F(layer_plan_test, engines_returning_one_by_one_cover_every_layer)
 {
     this->aim.min_requests = 30;
     std::vector<placeable_engine> engines{
--- a/tests/auto/placement/tst_layoutbalance.cpp
+++ b/tests/auto/placement/tst_layoutbalance.cpp
@@ -14,7 +14,7 @@
 protected:
     layout_balance_test()
     {
-        // Room for four tokens in each of its layers is left beside eight layers of a big card.
+        // A big card with eight layers has capacity for four tokens in each of them.
         this->profile.usual_prompt_tokens = 1;
         this->profile.usual_answer_tokens = 0;
     }
@@ -25,7 +25,7 @@
             {.id = upstream_id(id), .data_hall = data_hall_id("x"), .card = card, .held = held});
     }
 
-    /// Takes steps until there are none; returns how many looks that took.
+    /// Applies steps until there are none; returns the number of balancing runs.
     std::size_t balance_to_the_end()
     {
         constexpr std::size_t most_looks = 50;
@@ -75,7 +75,7 @@
     std::vector<placeable_engine> engines;
 };
 
-TEST_F(layout_balance_test, a_layer_passes_what_its_holders_pass_together)
+TEST_F(layout_balance_test, layer_rate_is_sum_over_its_holders)
 {
     this->add("a", "big", {0, 8});
     const double one = layout_rates(this->profile, this->list(), residence_ms)
@@ -88,7 +88,7 @@
     EXPECT_GT(rates.overall_after(this->engines[1], {0, 8}, {0, 4}), 0);
 }
 
-TEST_F(layout_balance_test, an_engine_with_too_many_layers_gives_up_what_others_hold)
+TEST_F(layout_balance_test, engine_with_too_many_layers_releases_shared_ones)
 {
     this->add("a", "big", {0, 8});
     this->add("b", "big", {0, 8});
@@ -100,7 +100,7 @@
     EXPECT_LT(this->engines[2].held.count(), 5U);
 }
 
-TEST_F(layout_balance_test, an_engine_whose_layers_others_hold_goes_where_a_layer_passes_least)
+TEST_F(layout_balance_test, redundant_engine_moves_to_layers_with_lowest_rate)
 {
     this->add("a", "big", {0, 8});
     this->add("b", "big", {0, 8});
@@ -112,7 +112,7 @@
     EXPECT_EQ(steps.front().span, (layer_span{8, 16}));
 }
 
-TEST_F(layout_balance_test, the_two_last_first_engines_of_paths_stay)
+TEST_F(layout_balance_test, last_two_holders_of_layer_0_stay)
 {
     this->add("a", "big", {0, 8});
     this->add("b", "big", {0, 8});
@@ -123,7 +123,7 @@
     EXPECT_TRUE(this->engines[1].held.holds(0));
 }
 
-TEST_F(layout_balance_test, no_step_opens_a_hole_and_the_steps_end)
+TEST_F(layout_balance_test, steps_open_no_coverage_gap_and_end)
 {
     this->add("a", "big", {0, 9});
     this->add("b", "big", {0, 4});
@@ -141,7 +141,7 @@
             EXPECT_GT(this->weakest(), 0) << "look " << look;
         }
     }
-    FAIL() << "it goes on and on";
+    FAIL() << "the steps do not end";
 }
 
 } // namespace
--- a/tests/auto/placement/tst_missinglayers.cpp
+++ b/tests/auto/placement/tst_missinglayers.cpp
@@ -20,7 +20,7 @@
     return upstream;
 }
 
-TEST(missing_layers, are_counted_for_each_hall)
+TEST(missing_layers, are_counted_per_hall)
 {
     upstream_pool pool;
     pool.name = service_id("llm");
--- a/tests/auto/placement/tst_placementcontroller.cpp
+++ b/tests/auto/placement/tst_placementcontroller.cpp
@@ -81,13 +81,13 @@
     std::optional<fencing_token> token = fencing_token(7);
     fencing_token refused;
     std::set<upstream_id> dead;
-    double used = 0; ///< share of each engine's room
+    double used = 0; ///< used share of the capacity of each engine
     std::vector<layer_order> sent;
     std::vector<std::function<void(order_result)>> answers;
     std::unique_ptr<placement_controller> keeper;
 };
 
-TEST_F(placement_controller_test, a_fresh_site_is_placed_once_no_more_engines_appear)
+TEST_F(placement_controller_test, plans_new_site_after_discovery_settles)
 {
     this->put("a");
     this->look();
@@ -101,7 +101,7 @@
     EXPECT_FALSE(this->sent[0].expected_orders.has_value());
 }
 
-TEST_F(placement_controller_test, a_host_without_the_duty_gives_no_orders)
+TEST_F(placement_controller_test, issues_no_orders_without_duty)
 {
     this->token.reset();
     this->put("a");
@@ -110,7 +110,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(placement_controller_test, a_new_owner_takes_what_is_held_as_it_is)
+TEST_F(placement_controller_test, new_duty_holder_keeps_held_layers)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -119,7 +119,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(placement_controller_test, a_crowded_layout_is_balanced_once_it_has_been_at_rest)
+TEST_F(placement_controller_test, balances_crowded_layout_after_stabilization)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -127,15 +127,15 @@
     this->put("crowded", {7, 16});
     this->look();
     this->look(10s);
-    EXPECT_TRUE(this->sent.empty()) << "nobody gains by it";
+    EXPECT_TRUE(this->sent.empty()) << "no benefit without high usage";
     this->used = 0.9;
     this->look(250ms);
-    EXPECT_TRUE(this->sent.empty()) << "looked for just before";
+    EXPECT_TRUE(this->sent.empty()) << "searched shortly before";
     this->look(4s);
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(placement_controller_test, a_new_owner_of_the_duty_balances_nothing_before_it_has_seen_a_rest)
+TEST_F(placement_controller_test, new_duty_holder_balances_only_after_stabilization)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -143,17 +143,17 @@
     this->put("crowded", {7, 16});
     this->used = 0.9;
     this->look();
-    EXPECT_TRUE(this->sent.empty()) << "all hosts may have started just now";
+    EXPECT_TRUE(this->sent.empty()) << "all hosts may have just started";
     this->token.reset();
     this->look(10s);
     this->token = fencing_token(8);
     this->look(1s);
-    EXPECT_TRUE(this->sent.empty()) << "the owner before may have given orders that are under way";
+    EXPECT_TRUE(this->sent.empty()) << "orders of the previous holder may be pending";
     this->look(4s);
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(placement_controller_test, a_refused_token_is_not_used_again)
+TEST_F(placement_controller_test, does_not_reuse_fenced_token)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -165,7 +165,7 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(placement_controller_test, an_order_without_answer_is_repeated_alike)
+TEST_F(placement_controller_test, resends_unanswered_order_unchanged)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -173,13 +173,13 @@
     ASSERT_EQ(this->sent.size(), 1U);
     this->answer_all(order_result::unanswered);
     this->look(100ms);
-    EXPECT_EQ(this->sent.size(), 1U) << "before its pause";
+    EXPECT_EQ(this->sent.size(), 1U) << "before the resend interval";
     this->look(500ms);
     ASSERT_EQ(this->sent.size(), 2U);
     EXPECT_EQ(this->sent[1].span, this->sent[0].span);
 }
 
-TEST_F(placement_controller_test, an_order_under_way_counts_as_done_until_its_time_is_over)
+TEST_F(placement_controller_test, pending_order_counts_as_done_until_it_expires)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -187,12 +187,12 @@
     this->answer_all(order_result::begun);
     this->look(3s);
     EXPECT_EQ(this->sent.size(), 1U);
-    // Half of the layers take 4 s, and 4 s more are allowed for.
+    // Half of the layers load in 4 s, and the load slack is 4 s.
     this->look(6s);
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(placement_controller_test, a_finished_order_is_forgotten)
+TEST_F(placement_controller_test, drops_finished_order)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -205,7 +205,7 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(placement_controller_test, an_engine_that_refused_is_left_alone_for_a_while)
+TEST_F(placement_controller_test, backs_off_from_engine_that_refused)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -217,7 +217,7 @@
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(placement_controller_test, many_dead_engines_at_once_are_a_host_that_reaches_none)
+TEST_F(placement_controller_test, ignores_verdicts_if_many_engines_seem_dead)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -227,7 +227,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(placement_controller_test, layers_of_a_dead_or_leaving_engine_are_placed_again)
+TEST_F(placement_controller_test, reassigns_layers_of_dead_or_leaving_engine)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -242,10 +242,10 @@
     }
 }
 
-TEST_F(placement_controller_test, an_engine_that_vanished_counts_as_coming_back_for_a_while)
+TEST_F(placement_controller_test, expects_vanished_engine_back_during_grace_period)
 {
-    // Two big cards hold the model beside more room than three: the first to come back to two that are lost
-    // must not take what all would.
+    // The first engine that comes back after two were lost takes the share of one of three engines, not the
+    // larger share of one of two.
     this->put_at("a", "127.0.0.1:1", {0, 6});
     this->put_at("b", "127.0.0.1:2", {6, 11});
     this->put_at("c", "127.0.0.1:3", {11, 16});
@@ -262,7 +262,7 @@
     this->sent.clear();
     this->look(this->settings.return_grace_period);
     ASSERT_EQ(this->sent.size(), 1U);
-    EXPECT_GT(this->sent[0].span.count(), 7U) << "nobody else comes back any more";
+    EXPECT_GT(this->sent[0].span.count(), 7U) << "the grace period of the others is over";
 }
 
 } // namespace
--- a/tests/auto/placement/tst_repair.cpp
+++ b/tests/auto/placement/tst_repair.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t draws = 12;
 
-/// Plays a loss on drawn deployments of so many engines.
+/// Simulates a loss on random deployments with this number of engines.
 std::vector<repair_outcome> play_draws(std::size_t engines, const engine_loss& loss)
 {
     std::vector<repair_outcome> outcomes;
@@ -32,52 +32,53 @@
         ->end_share;
 }
 
-/// Seconds from the loss until all layers are held again, of the draw that took longest.
+/// Seconds from the loss until all layers are held again, in the slowest draw.
 double slowest_whole(const std::vector<repair_outcome>& outcomes)
 {
     double slowest = 0;
     for (const repair_outcome& outcome : outcomes) {
-        EXPECT_TRUE(outcome.whole_s.has_value()) << "some layer stays without a holder";
+        EXPECT_TRUE(outcome.whole_s.has_value()) << "a layer stays without a holder";
         slowest = std::max(slowest, outcome.whole_s.value_or(0));
     }
     return slowest;
 }
 
-/// Engines come back after a second; what their former starts wrote comes later still.
+/// Engines come back after a second; entries of their previous starts arrive even later.
 engine_loss make_return(std::size_t engines)
 {
     return {
         .engines = engines, .return_grace_period = 1s, .returns_under_its_name = true, .late_entry = 2200ms};
 }
 
-// With the way before (holes filled one by one, layouts never balanced; aim.balances = false, eight draws):
-// all layers held after 6.6 s at the worst, and the weakest layer passed 0.11 of what it had to the end.
-TEST(repair, three_of_38_engines_that_start_anew_leave_nothing_behind)
+// Guards against layouts that stay uneven after a repair. Without balancing, and with gaps filled one by one
+// (aim.balances = false, eight draws), all layers were held after at most 6.6 s, but the weakest layer kept
+// 0.11 of its target rate.
+TEST(repair, layout_recovers_after_three_of_38_engines_restart)
 {
     const std::vector<repair_outcome> outcomes = play_draws(38, make_return(3));
     EXPECT_LE(slowest_whole(outcomes), 4);
     EXPECT_GE(worst_end(outcomes), 0.7);
 }
 
-// The way before: 7.3 s, and 0.11.
-TEST(repair, eleven_of_38_engines_that_start_anew_leave_nothing_behind)
+// Without balancing: 7.3 s, and 0.11.
+TEST(repair, layout_recovers_after_eleven_of_38_engines_restart)
 {
     const std::vector<repair_outcome> outcomes = play_draws(38, make_return(11));
     EXPECT_LE(slowest_whole(outcomes), 5);
     EXPECT_GE(worst_end(outcomes), 0.7);
 }
 
-// The way before left a layer without a holder for good in three of four draws.
-TEST(repair, engines_that_are_gone_for_good_leave_no_layer_without_a_holder)
+// Without balancing, a layer stayed without a holder in three of four draws.
+TEST(repair, every_layer_has_holder_after_permanent_loss)
 {
     engine_loss loss;
     loss.engines = 3;
     const std::vector<repair_outcome> outcomes = play_draws(38, loss);
-    EXPECT_LE(slowest_whole(outcomes), 18) << "ten of these are waited for their return";
+    EXPECT_LE(slowest_whole(outcomes), 18) << "includes the grace period of 10 s";
     EXPECT_GE(worst_end(outcomes), 0.7);
 }
 
-TEST(repair, all_engines_that_start_anew_are_laid_out_anew)
+TEST(repair, layout_recovers_after_all_engines_restart)
 {
     const std::vector<repair_outcome> outcomes = play_draws(38, make_return(38));
     EXPECT_LE(slowest_whole(outcomes), 13);
