--- a/tests/auto/placement/tst_repair.cpp
+++ b/tests/auto/placement/tst_repair.cpp
@@ -47,7 +47,7 @@
 engine_loss make_return(std::size_t engines)
 {
     return {
-        .engines = engines, .return_grace_period = 1s, .returns_under_its_name = true, .late_entry = 2200ms};
+        .engines = engines, .return_time = 1s, .returns_under_its_name = true, .late_entry = 2200ms};
 }
 
 // Guards against layouts that stay uneven after a repair. Without balancing, and with gaps filled one by one
