--- a/src/libs/placement/layerplan.cpp
+++ b/src/libs/placement/layerplan.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// Plans for one group of halls.
+/// Plan for one group of halls.
 class group_plan
 {
 public:
     group_plan(
-        const engine_profile& profile, const placement_aim& aim, engine_list engines, watch_phase phase)
+        const engine_profile& profile, const placement_aim& aim, engine_list engines, observation_phase phase)
         : profile(profile)
         , aim(aim)
         , engines(std::move(engines))
@@ -30,7 +30,7 @@
         for (const placeable_engine* engine : this->engines) {
             this->coverage.add_holder(engine->held, this->cost_on(*engine));
         }
-        this->token_room = this->choose_room();
+        this->token_capacity = this->choose_token_capacity();
     }
 
     std::vector<placement_step> run()
@@ -41,22 +41,22 @@
             this->lay_out_all();
             return this->steps;
         }
-        this->fill_empty();
-        this->extend_into_holes();
-        this->move_into_holes();
+        this->assign_empty_engines();
+        this->extend_into_coverage_gaps();
+        this->move_into_coverage_gaps();
         if (!this->aim.balances || this->is_changing()) {
             return this->steps;
         }
-        if (this->coverage.has_hole() && this->phase != watch_phase::begun) {
+        if (this->coverage.has_coverage_gap() && this->phase != observation_phase::begun) {
             this->lay_out_in_place();
-        } else if (this->is_crowded() && this->phase == watch_phase::at_rest) {
-            return balance_layout(this->profile, this->engines, this->token_room, {});
+        } else if (this->has_high_usage() && this->phase == observation_phase::stable) {
+            return balance_layout(this->profile, this->engines, this->token_capacity, {});
         }
         return this->steps;
     }
 
 private:
-    /// An engine shall hold these layers.
+    /// Assignment of a span to an engine.
     struct engine_move
     {
         const placeable_engine* engine = nullptr;
@@ -70,24 +70,23 @@
                                : predict_layer_cost(this->profile, *card, this->aim);
     }
 
-    /// The most tokens for which there is room everywhere beside the wanted copies, or fewer copies if the
-    /// cards don't hold them beside the least room. Cards that hold the model only beside less than that get
-    /// the most room that one copy leaves.
-    [[nodiscard]] double choose_room() const
+    /// Largest token capacity that all engines can keep with the wanted copies, or with fewer copies if the
+    /// cards cannot hold them with the minimum capacity. Cards that hold the model only with less capacity
+    /// get the capacity that one copy leaves.
+    [[nodiscard]] double choose_token_capacity() const
     {
-        const double least = this->aim.least_requests * usual_tokens(this->profile);
+        const double least = this->aim.min_requests * usual_request_tokens(this->profile);
         const auto count = static_cast<double>(this->engines.size());
-        const double copies = std::max(this->aim.copies, count / this->aim.most_parts);
-        const double wanted = find_largest_room(this->profile, this->engines, copies).value_or(0);
+        const double copies = std::max(this->aim.copies, count / this->aim.max_stages);
+        const double wanted = find_max_token_capacity(this->profile, this->engines, copies).value_or(0);
         if (wanted >= least) {
             return wanted;
         }
-        const std::optional<double> single = find_largest_room(this->profile, this->engines, 1);
+        const std::optional<double> single = find_max_token_capacity(this->profile, this->engines, 1);
         return std::min(least, single.value_or(least));
     }
 
-    /// True if something is about to change: a layout that is still being repaired shows nothing of what it
-    /// will carry.
+    /// True if the layout is about to change: a layout under repair does not show what it will carry.
     [[nodiscard]] bool is_changing() const
     {
         return !this->steps.empty()
@@ -95,22 +94,25 @@
                 [](const placeable_engine* engine) { return engine->is_loading || engine->is_absent; });
     }
 
-    /// True if some engine's room is nearly used up, so that callers gain by a better layout; each step to it
-    /// leads streams elsewhere, which costs those.
-    [[nodiscard]] bool is_crowded() const
+    /// True if the capacity of some engine is nearly used up, so that callers benefit from a better layout.
+    /// Otherwise balancing only costs the streams that each step moves.
+    [[nodiscard]] bool has_high_usage() const
     {
-        return std::any_of(this->engines.begin(), this->engines.end(),
-            [this](const placeable_engine* engine) { return engine->used_share >= this->aim.crowded_share; });
+        return std::any_of(
+            this->engines.begin(), this->engines.end(), [this](const placeable_engine* engine) {
+                return engine->used_share >= this->aim.high_usage_share;
+            });
     }
 
-    /// For a hole that no step closes: one copy of the layers, on the engines in the order in which they hold
-    /// them, each as near to what it holds as leaves no hole. Most move by a few layers.
+    /// Closes a gap that no single step closes: lays out one copy of the layers over the engines, in the
+    /// order of their spans, with each span as close to the held one as the coverage allows. Most spans move
+    /// by a few layers.
     void lay_out_in_place()
     {
         engine_list in_order;
-        unsigned left = 0; // layers that the engines from the present one on hold at the most
+        unsigned left = 0; // upper bound of the layers on the current and the following engines
         for (const placeable_engine* engine : this->engines) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             if (size > 0) {
                 in_order.push_back(engine);
                 left += size;
@@ -121,12 +123,12 @@
                 return first->held.begin + first->held.end < second->held.begin + second->held.end;
             });
         if (left < this->profile.layers) {
-            return; // no layout is whole
+            return; // no layout covers all layers
         }
         std::vector<engine_move> wanted;
         unsigned covered = 0;
         for (const placeable_engine* engine : in_order) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             const unsigned open = this->profile.layers - covered;
             const unsigned spare = left > open ? left - open : 0;
             const unsigned earliest = covered > spare ? covered - spare : 0;
@@ -138,16 +140,16 @@
             covered = std::max(covered, begin + size);
             left -= size;
         }
-        this->go_towards(wanted);
+        this->add_steps_towards(wanted);
     }
 
-    /// Takes the steps that give up no last holder; if there is none, all of them, as no path passes the hole
-    /// anyway.
-    void go_towards(const std::vector<engine_move>& wanted)
+    /// Adds the steps that release no last holder. If there are none, adds all steps, as no path crosses the
+    /// gap anyway.
+    void add_steps_towards(const std::vector<engine_move>& wanted)
     {
         layer_coverage left = this->coverage;
         for (const engine_move& move : wanted) {
-            if (left.may_lose(move.engine->held, move.span)) {
+            if (left.keeps_coverage(move.engine->held, move.span)) {
                 left.remove_holder(move.engine->held);
                 this->place(*move.engine, move.span);
             }
@@ -163,18 +165,18 @@
     void place(const placeable_engine& engine, layer_span span)
     {
         this->coverage.remove_holder(engine.held);
-        const bool closes_hole = this->coverage.has_hole_within(span);
+        const bool closes_coverage_gap = this->coverage.has_coverage_gap_within(span);
         this->coverage.add_holder(span, this->cost_on(engine));
-        this->steps.push_back({engine.id, span, closes_hole});
+        this->steps.push_back({engine.id, span, closes_coverage_gap});
         this->moved.insert(engine.id);
     }
 
-    /// All engines are empty: one copy after the other, from layer 0, each engine as much as it may.
+    /// Lays out empty engines: one copy after the other, from layer 0, as many layers per engine as fit.
     void lay_out_all()
     {
         unsigned next = 0;
         for (const placeable_engine* engine : this->engines) {
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
             if (size == 0 || engine->is_absent) {
                 continue;
             }
@@ -184,7 +186,7 @@
         }
     }
 
-    void fill_empty()
+    void assign_empty_engines()
     {
         engine_list empty;
         for (const placeable_engine* engine : this->engines) {
@@ -192,66 +194,68 @@
                 empty.push_back(engine);
             }
         }
-        const unsigned share = this->aim.balances ? this->share_of_holes(empty.size()) : 0;
+        const unsigned share = this->aim.balances ? this->gap_layers_per_engine(empty.size()) : 0;
         for (const placeable_engine* engine : empty) {
-            const unsigned most = count_layers_beside(this->profile, *engine, this->token_room);
-            const unsigned size = share > 0 && this->coverage.has_hole() ? std::min(most, share) : most;
+            const unsigned most = count_placeable_layers(this->profile, *engine, this->token_capacity);
+            const unsigned size =
+                share > 0 && this->coverage.has_coverage_gap() ? std::min(most, share) : most;
             if (size > 0) {
-                this->place(*engine, this->coverage.find_worthiest(size, this->cost_on(*engine)));
+                this->place(*engine, this->coverage.find_most_valuable(size, this->cost_on(*engine)));
             }
         }
     }
 
-    /// Layers of the holes for each of so many empty engines. Loads run side by side, so a hole is closed
-    /// sooner by several that load a little each than by one that loads all of it; they take more later.
-    [[nodiscard]] unsigned share_of_holes(std::size_t engine_count) const
+    /// Number of gap layers for each of `engine_count` empty engines. Loads run in parallel, so several
+    /// engines that load a few layers each close a gap sooner than one that loads all of them. They are
+    /// assigned more layers later.
+    [[nodiscard]] unsigned gap_layers_per_engine(std::size_t engine_count) const
     {
         unsigned open = 0;
-        for (layer_span hole = this->coverage.find_hole(0); !hole.is_empty();
-             hole = this->coverage.find_hole(hole.end)) {
-            open += hole.count();
+        for (layer_span gap = this->coverage.find_coverage_gap(0); !gap.is_empty();
+             gap = this->coverage.find_coverage_gap(gap.end)) {
+            open += gap.count();
         }
         const auto count = static_cast<unsigned>(engine_count);
         return count == 0 ? 0 : (open + count - 1) / count;
     }
 
-    void extend_into_holes()
+    void extend_into_coverage_gaps()
     {
         unsigned begin = 0;
-        for (layer_span hole = this->coverage.find_hole(begin); !hole.is_empty();
-             hole = this->coverage.find_hole(begin)) {
-            this->extend_into(hole);
-            begin = hole.end;
+        for (layer_span gap = this->coverage.find_coverage_gap(begin); !gap.is_empty();
+             gap = this->coverage.find_coverage_gap(begin)) {
+            this->extend_into(gap);
+            begin = gap.end;
         }
     }
 
-    /// Closes a hole from both of its sides, each by about half, or from one side if the other can't.
-    void extend_into(const layer_span& hole)
+    /// Closes a gap from both sides, each by about half, or from one side if the other cannot.
+    void extend_into(const layer_span& gap)
     {
-        const placeable_engine* left = this->find_neighbour(hole, true);
-        const placeable_engine* right = this->find_neighbour(hole, false);
+        const placeable_engine* left = this->find_neighbour(gap, true);
+        const placeable_engine* right = this->find_neighbour(gap, false);
         const unsigned left_most = left == nullptr ? 0 : this->spare_layers(*left, true);
         const unsigned right_most = right == nullptr ? 0 : this->spare_layers(*right, false);
-        if (left_most + right_most < hole.count()) {
-            return; // a hole that is only smaller is a hole still
+        if (left_most + right_most < gap.count()) {
+            return; // a smaller gap still stops all paths
         }
-        const unsigned half = hole.count() / 2;
+        const unsigned half = gap.count() / 2;
         const unsigned from_left = std::clamp(
-            half, hole.count() - std::min(right_most, hole.count()), std::min(left_most, hole.count()));
+            half, gap.count() - std::min(right_most, gap.count()), std::min(left_most, gap.count()));
         if (from_left > 0) {
             this->place(*left, this->extend(*left, true, from_left));
         }
-        if (from_left < hole.count()) {
-            this->place(*right, this->extend(*right, false, hole.count() - from_left));
+        if (from_left < gap.count()) {
+            this->place(*right, this->extend(*right, false, gap.count() - from_left));
         }
     }
 
-    /// The engine that ends right before the hole, or begins right after it, and can take most of it.
-    [[nodiscard]] const placeable_engine* find_neighbour(const layer_span& hole, bool is_left) const
+    /// Engine whose span ends or begins at the gap and that can take most of it.
+    [[nodiscard]] const placeable_engine* find_neighbour(const layer_span& gap, bool is_left) const
     {
         const placeable_engine* best = nullptr;
         for (const placeable_engine* engine : this->engines) {
-            const bool is_beside = is_left ? engine->held.end == hole.begin : engine->held.begin == hole.end;
+            const bool is_beside = is_left ? engine->held.end == gap.begin : engine->held.begin == gap.end;
             if (!is_beside || engine->held.is_empty() || this->moved.count(engine->id) != 0) {
                 continue;
             }
@@ -263,22 +267,23 @@
         return best;
     }
 
-    [[nodiscard]] unsigned most_layers_at_hole(const placeable_engine& engine) const
+    [[nodiscard]] unsigned max_layers_at_coverage_gap(const placeable_engine& engine) const
     {
-        return count_layers_beside(
-            this->profile, engine, this->aim.least_requests_at_hole * usual_tokens(this->profile));
+        return count_placeable_layers(this->profile, engine,
+            this->aim.min_requests_at_coverage_gap * usual_request_tokens(this->profile));
     }
 
-    /// Layers at the engine's far end that another one holds too, so that it may give them up.
+    /// Number of layers at the far end of the engine that have another holder, so that it may release them.
     [[nodiscard]] unsigned droppable_layers(const placeable_engine& engine, bool is_to_the_right) const
     {
         unsigned count = 0;
         while (count + 1 < engine.held.count()) {
             const unsigned layer = is_to_the_right ? engine.held.begin + count : engine.held.end - 1 - count;
-            // An engine begins to load only once no stream passes the layers that it gives up, and a stream's
-            // first engine can't be replaced: one that gave up layer 0 closed its hole after 11 s, not 4.
-            const bool is_bound = this->aim.balances && layer == 0;
-            if (is_bound || !this->coverage.is_spare(layer)) {
+            // An engine starts to load only when no stream uses the layers that it releases, and the first
+            // engine of a stream cannot be replaced: one that released layer 0 closed its gap after 11 s
+            // instead of 4 s.
+            const bool is_pinned = this->aim.balances && layer == 0;
+            if (is_pinned || !this->coverage.is_spare(layer)) {
                 break;
             }
             ++count;
@@ -286,17 +291,17 @@
         return count;
     }
 
-    /// How many layers more the engine could take beyond its end (or before its begin).
+    /// Number of layers that the engine can take beyond its end, or before its begin.
     [[nodiscard]] unsigned spare_layers(const placeable_engine& engine, bool is_to_the_right) const
     {
         const unsigned kept = engine.held.count() - this->droppable_layers(engine, is_to_the_right);
-        const unsigned most = this->most_layers_at_hole(engine);
+        const unsigned most = this->max_layers_at_coverage_gap(engine);
         return most > kept ? most - kept : 0;
     }
 
     [[nodiscard]] layer_span extend(const placeable_engine& engine, bool is_to_the_right, unsigned more) const
     {
-        const unsigned most = std::max(this->most_layers_at_hole(engine), engine.held.count());
+        const unsigned most = std::max(this->max_layers_at_coverage_gap(engine), engine.held.count());
         const unsigned wanted = engine.held.count() + more;
         const unsigned dropped = wanted > most ? wanted - most : 0;
         if (is_to_the_right) {
@@ -305,8 +310,8 @@
         return {engine.held.begin - more, engine.held.end - dropped};
     }
 
-    /// True if every layer of this engine has another holder.
-    [[nodiscard]] bool can_give_up(const placeable_engine& engine) const
+    /// True if every layer of the engine has another holder.
+    [[nodiscard]] bool is_redundant(const placeable_engine& engine) const
     {
         if (engine.held.is_empty() || this->moved.count(engine.id) != 0) {
             return false;
@@ -319,8 +324,8 @@
         return true;
     }
 
-    /// Engines behind the head move first, as streams can be led around them; then those with few layers,
-    /// which are loaded again soonest and carry least.
+    /// Engines in the order in which they may move: those without layer 0 first, as streams can be rerouted
+    /// around them, then those with few layers, which load fastest and carry least.
     [[nodiscard]] engine_list list_donors() const
     {
         engine_list donors = this->engines;
@@ -334,23 +339,23 @@
         return donors;
     }
 
-    /// Where the engine would be worth most if it held nothing.
-    [[nodiscard]] layer_span find_span_anew(const placeable_engine& engine, unsigned size) const
+    /// Span with the highest value for the engine if it held nothing.
+    [[nodiscard]] layer_span find_best_span(const placeable_engine& engine, unsigned size) const
     {
         layer_coverage others = this->coverage;
         others.remove_holder(engine.held);
-        return others.find_worthiest(size, this->cost_on(engine));
+        return others.find_most_valuable(size, this->cost_on(engine));
     }
 
-    void move_into_holes()
+    void move_into_coverage_gaps()
     {
         for (const placeable_engine* engine : this->list_donors()) {
-            if (!this->coverage.has_hole()) {
+            if (!this->coverage.has_coverage_gap()) {
                 return;
             }
-            const unsigned size = count_layers_beside(this->profile, *engine, this->token_room);
-            if (size > 0 && this->can_give_up(*engine)) {
-                this->place(*engine, this->find_span_anew(*engine, size));
+            const unsigned size = count_placeable_layers(this->profile, *engine, this->token_capacity);
+            if (size > 0 && this->is_redundant(*engine)) {
+                this->place(*engine, this->find_best_span(*engine, size));
             }
         }
     }
@@ -358,14 +363,15 @@
     const engine_profile& profile;
     const placement_aim& aim;
     engine_list engines;
-    watch_phase phase;
+    observation_phase phase;
     layer_coverage coverage;
-    double token_room = 0;
+    double token_capacity = 0;
     std::vector<placement_step> steps;
     std::set<upstream_id> moved;
 };
 
-/// The engines with what they hold of the model: an engine's own word may name layers beyond it.
+/// Clips the spans of the engines to the layers of the model: the entry of an engine may name layers beyond
+/// it.
 std::vector<placeable_engine> bound_to_model(
     const engine_profile& profile, const std::vector<placeable_engine>& engines)
 {
@@ -377,8 +383,8 @@
     return bounded;
 }
 
-/// The same order on every host: hall by hall, so that a copy of the layers that is laid out in this order
-/// leaves a hall once, and within a hall the cheapest cards first, so that the first copy lies on them.
+/// Sorts by hall, then by cost of the card. The order is the same on every host. A copy of the layers laid
+/// out in it leaves each hall once, and the first copy is on the cheapest cards.
 void sort_engines(const engine_profile& profile, engine_list& engines, const placement_aim& aim)
 {
     const auto rank_of = [&profile, &aim](const placeable_engine* engine) {
@@ -395,7 +401,7 @@
 } // namespace
 
 std::vector<placement_step> plan_layers(const engine_profile& profile,
-    const std::vector<placeable_engine>& engines, const placement_aim& aim, watch_phase phase)
+    const std::vector<placeable_engine>& engines, const placement_aim& aim, observation_phase phase)
 {
     const std::vector<placeable_engine> bounded = bound_to_model(profile, engines);
     std::vector<placement_step> steps;
--- a/tests/auto/placement/tst_layerkeeper.cpp
+++ b/tests/auto/placement/tst_placementcontroller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 #include <support/sampleprofile.h>
 
 #include <gtest/gtest.h>
@@ -10,17 +10,18 @@
 
 using namespace std::chrono_literals;
 
-class layer_keeper_test : public testing::Test
+class placement_controller_test : public testing::Test
 {
 protected:
-    layer_keeper_test()
+    placement_controller_test()
     {
-        this->keeper = std::make_unique<layer_keeper>(this->settings, this->make_hooks(), this->directory);
+        this->keeper =
+            std::make_unique<placement_controller>(this->settings, this->make_hooks(), this->directory);
     }
 
-    layer_keeper_hooks make_hooks()
+    placement_controller_hooks make_hooks()
     {
-        layer_keeper_hooks hooks;
+        placement_controller_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.send = [this](const layer_order& order, std::function<void(order_result)> on_result) {
             this->sent.push_back(order);
@@ -60,7 +61,7 @@
     {
         this->now += later;
         this->timers.run_due(this->now);
-        this->keeper->look(this->profile, service_id("llm"));
+        this->keeper->reconcile(this->profile, service_id("llm"));
     }
 
     void answer_all(order_result result)
@@ -76,17 +77,17 @@
     timer_queue timers;
     upstream_directory directory{2s};
     engine_profile profile = tests::make_sample_profile();
-    layer_keeper_settings settings;
+    placement_controller_settings settings;
     std::optional<fencing_token> token = fencing_token(7);
     fencing_token refused;
     std::set<upstream_id> dead;
-    double used = 0; ///< share of each engine's room
+    double used = 0; ///< used share of the capacity of each engine
     std::vector<layer_order> sent;
     std::vector<std::function<void(order_result)>> answers;
-    std::unique_ptr<layer_keeper> keeper;
+    std::unique_ptr<placement_controller> keeper;
 };
 
-TEST_F(layer_keeper_test, a_fresh_site_is_placed_once_no_more_engines_appear)
+TEST_F(placement_controller_test, plans_new_site_after_discovery_settles)
 {
     this->put("a");
     this->look();
@@ -100,7 +101,7 @@
     EXPECT_FALSE(this->sent[0].expected_orders.has_value());
 }
 
-TEST_F(layer_keeper_test, a_host_without_the_duty_gives_no_orders)
+TEST_F(placement_controller_test, issues_no_orders_without_duty)
 {
     this->token.reset();
     this->put("a");
@@ -109,7 +110,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_new_owner_takes_what_is_held_as_it_is)
+TEST_F(placement_controller_test, new_duty_holder_keeps_held_layers)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -118,7 +119,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_crowded_layout_is_balanced_once_it_has_been_at_rest)
+TEST_F(placement_controller_test, balances_crowded_layout_after_stabilization)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -126,15 +127,15 @@
     this->put("crowded", {7, 16});
     this->look();
     this->look(10s);
-    EXPECT_TRUE(this->sent.empty()) << "nobody gains by it";
+    EXPECT_TRUE(this->sent.empty()) << "no benefit without high usage";
     this->used = 0.9;
     this->look(250ms);
-    EXPECT_TRUE(this->sent.empty()) << "looked for just before";
+    EXPECT_TRUE(this->sent.empty()) << "searched shortly before";
     this->look(4s);
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_new_owner_of_the_duty_balances_nothing_before_it_has_seen_a_rest)
+TEST_F(placement_controller_test, new_duty_holder_balances_only_after_stabilization)
 {
     for (const char* id : {"a", "b", "c"}) {
         this->put(id, {0, 9});
@@ -142,17 +143,17 @@
     this->put("crowded", {7, 16});
     this->used = 0.9;
     this->look();
-    EXPECT_TRUE(this->sent.empty()) << "all hosts may have started just now";
+    EXPECT_TRUE(this->sent.empty()) << "all hosts may have just started";
     this->token.reset();
     this->look(10s);
     this->token = fencing_token(8);
     this->look(1s);
-    EXPECT_TRUE(this->sent.empty()) << "the owner before may have given orders that are under way";
+    EXPECT_TRUE(this->sent.empty()) << "orders of the previous holder may be pending";
     this->look(4s);
     EXPECT_FALSE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, a_refused_token_is_not_used_again)
+TEST_F(placement_controller_test, does_not_reuse_fenced_token)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -164,7 +165,7 @@
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(layer_keeper_test, an_order_without_answer_is_repeated_alike)
+TEST_F(placement_controller_test, resends_unanswered_order_unchanged)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -172,13 +173,13 @@
     ASSERT_EQ(this->sent.size(), 1U);
     this->answer_all(order_result::unanswered);
     this->look(100ms);
-    EXPECT_EQ(this->sent.size(), 1U) << "before its pause";
+    EXPECT_EQ(this->sent.size(), 1U) << "before the resend interval";
     this->look(500ms);
     ASSERT_EQ(this->sent.size(), 2U);
     EXPECT_EQ(this->sent[1].span, this->sent[0].span);
 }
 
-TEST_F(layer_keeper_test, an_order_under_way_counts_as_done_until_its_time_is_over)
+TEST_F(placement_controller_test, pending_order_counts_as_done_until_it_expires)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -186,25 +187,25 @@
     this->answer_all(order_result::begun);
     this->look(3s);
     EXPECT_EQ(this->sent.size(), 1U);
-    // Half of the layers take 4 s, and 4 s more are allowed for.
+    // Half of the layers load in 4 s, and the load slack is 4 s.
     this->look(6s);
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(layer_keeper_test, a_finished_order_is_forgotten)
+TEST_F(placement_controller_test, drops_finished_order)
 {
     this->put("a", {0, 8});
     this->put("b");
     this->look();
     this->answer_all(order_result::begun);
-    EXPECT_EQ(this->keeper->orders_open(), 1U);
+    EXPECT_EQ(this->keeper->pending_order_count(), 1U);
     this->put("b", this->sent[0].span);
     this->look(1s);
-    EXPECT_EQ(this->keeper->orders_open(), 0U);
+    EXPECT_EQ(this->keeper->pending_order_count(), 0U);
     EXPECT_EQ(this->sent.size(), 1U);
 }
 
-TEST_F(layer_keeper_test, an_engine_that_refused_is_left_alone_for_a_while)
+TEST_F(placement_controller_test, backs_off_from_engine_that_refused)
 {
     this->put("a", {0, 8});
     this->put("b");
@@ -216,7 +217,7 @@
     EXPECT_EQ(this->sent.size(), 2U);
 }
 
-TEST_F(layer_keeper_test, many_dead_engines_at_once_are_a_host_that_reaches_none)
+TEST_F(placement_controller_test, ignores_verdicts_if_many_engines_seem_dead)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -226,7 +227,7 @@
     EXPECT_TRUE(this->sent.empty());
 }
 
-TEST_F(layer_keeper_test, layers_of_a_dead_or_leaving_engine_are_placed_again)
+TEST_F(placement_controller_test, reassigns_layers_of_dead_or_leaving_engine)
 {
     this->put("a", {0, 8});
     this->put("b", {8, 16});
@@ -241,10 +242,10 @@
     }
 }
 
-TEST_F(layer_keeper_test, an_engine_that_vanished_counts_as_coming_back_for_a_while)
+TEST_F(placement_controller_test, expects_vanished_engine_back_during_grace_period)
 {
-    // Two big cards hold the model beside more room than three: the first to come back to two that are lost
-    // must not take what all would.
+    // The first engine that comes back after two were lost takes the share of one of three engines, not the
+    // larger share of one of two.
     this->put_at("a", "127.0.0.1:1", {0, 6});
     this->put_at("b", "127.0.0.1:2", {6, 11});
     this->put_at("c", "127.0.0.1:3", {11, 16});
@@ -259,9 +260,9 @@
     EXPECT_LE(this->sent[0].span.count(), 7U) << "as one of three, not of two";
     this->answer_all(order_result::refused);
     this->sent.clear();
-    this->look(this->settings.return_time);
+    this->look(this->settings.return_grace_period);
     ASSERT_EQ(this->sent.size(), 1U);
-    EXPECT_GT(this->sent[0].span.count(), 7U) << "nobody else comes back any more";
+    EXPECT_GT(this->sent[0].span.count(), 7U) << "the grace period of the others is over";
 }
 
 } // namespace
--- a/tests/support/repairmodel.cpp
+++ b/tests/support/repairmodel.cpp
@@ -69,9 +69,9 @@
     , profile(make_profile())
 {
     this->draw_deployment(engine_count);
-    layer_keeper_settings settings;
+    placement_controller_settings settings;
     settings.aim = aim;
-    layer_keeper_hooks hooks;
+    placement_controller_hooks hooks;
     hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
     hooks.send = [this](const layer_order& order, const std::function<void(order_result)>& on_result) {
         this->take_order(order, on_result);
@@ -85,7 +85,7 @@
     };
     hooks.used_share = [](const engine_profile&, const discovered_upstream&) { return 1.0; };
     hooks.is_dead = [this](const upstream_id& id) { return this->is_dead(id); };
-    this->keeper = std::make_unique<layer_keeper>(settings, std::move(hooks), this->directory);
+    this->keeper = std::make_unique<placement_controller>(settings, std::move(hooks), this->directory);
 }
 
 void repair_model::draw_deployment(std::size_t engine_count)
@@ -243,7 +243,7 @@
     this->timers.run_due(this->now);
     this->directory.drop_lapsed(this->now);
     if (this->now.time_since_epoch() % look_interval == duration::zero()) {
-        this->keeper->look(this->profile, service_id("llm"));
+        this->keeper->reconcile(this->profile, service_id("llm"));
     }
 }
 
--- a/tests/support/repairmodel.h
+++ b/tests/support/repairmodel.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include <placement/layerkeeper.h>
+#include <placement/placementcontroller.h>
 
 #include <memory>
 #include <optional>
@@ -34,8 +34,8 @@
 };
 
 /// Engines of unlike cards in some halls, with loads that take their time, under a clock of its own; the
-/// orders are given by the real `layer_keeper`, which sees entries that are half a second old and deaths
-/// after a while.
+/// orders are given by the real `placement_controller`, which sees entries that are half a second old and
+/// deaths after a while.
 class repair_model
 {
 public:
@@ -94,7 +94,7 @@
     upstream_directory directory{std::chrono::seconds(2)};
     std::vector<engine> engines;
     std::vector<pending_entry> entries;
-    std::unique_ptr<layer_keeper> keeper;
+    std::unique_ptr<placement_controller> keeper;
     std::size_t loads = 0;
     std::size_t layers_loaded = 0;
 };
