--- a/bench/bench_fleet.cpp
+++ b/bench/bench_fleet.cpp
@@ -2,8 +2,8 @@
 // Cost of ownership and of the carrier's look at what is due.
 #include "lettersize.h"
 
-#include <fleet/carrierduty.h>
 #include <fleet/ownership.h>
+#include <fleet/renewalschedule.h>
 
 #include <benchmark/benchmark.h>
 
@@ -24,7 +24,7 @@
 /// A look when nothing is due, which is nearly every one of them.
 void look_at_duties(benchmark::State& state)
 {
-    carrier_duty duty({}, host_id("host-0"));
+    renewal_schedule duty({}, host_id("host-0"));
     const std::vector<host_id> hosts = bench::make_hosts(bench::hosts);
     for (std::int64_t record = 0; record < state.range(0); ++record) {
         duty.note_seen(std::to_string(record), time_point());
--- a/bench/bench_peer.cpp
+++ b/bench/bench_peer.cpp
@@ -2,7 +2,7 @@
 // Cost of one small question between hosts over a kept peer connection, both sides in one process. Prints
 // JSON.
 #include <base/json.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
 #include <runtime/peerclient.h>
 #include <runtime/peerserver.h>
 
@@ -26,19 +26,19 @@
 {
     event_loop loop;
     const account_limits limits{100, 0};
-    share_home home([&limits](const client_account_id&) { return &limits; });
+    share_allocator home([&limits](const client_account_id&) { return &limits; });
     peer_server server(loop, [&](const std::string&, const std::string& body) -> std::optional<std::string> {
-        return encode_share_grants(home.answer(decode_share_question(body), loop.now()));
+        return encode_share_grants(home.answer(decode_share_query(body), loop.now()));
     });
     const endpoint address = server.listen(endpoint("127.0.0.1:0"));
     peer_client client(loop, std::chrono::seconds(1));
     const std::string question =
-        encode_share_question({host_id("host-17"), {{client_account_id("account-1234"), 3, 2, 1}}});
+        encode_share_query({host_id("host-17"), {{client_account_id("account-1234"), 3, 2, 1}}});
     int answered = 0;
     const double began = processor_seconds();
     for (int asked = 0; asked < questions; ++asked) {
         client.ask(
-            address, share_question_method, question, std::chrono::seconds(5),
+            address, share_query_method, question, std::chrono::seconds(5),
             [&answered](const std::string&) { ++answered; }, [](const peer_failure&) {});
         while (answered <= asked) {
             loop.run_once(std::chrono::milliseconds(100));
--- a/bench/bench_reports.cpp
+++ b/bench/bench_reports.cpp
@@ -41,8 +41,8 @@
         report.work.push_back(
             {upstream_id(make_name("i-", number)), 20'000.0 + static_cast<double>(number), 3});
     }
-    for (std::size_t number = 0; has_news && number < membership_settings().most_told; ++number) {
-        host_news news;
+    for (std::size_t number = 0; has_news && number < membership_settings().max_per_report; ++number) {
+        host_state news;
         news.host = {
             host_id(make_name("edge-hall-a-", number)), endpoint("10.1.0.40:7340"), data_hall_id("hall-a")};
         report.news.push_back(news);
--- a/bench/bench_routing.cpp
+++ b/bench/bench_routing.cpp
@@ -2,8 +2,8 @@
 // Cost of a routing decision, of finding an account and of admitting a request.
 #include "lettersize.h"
 
-#include <fleet/shareholder.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
+#include <fleet/shareclient.h>
 #include <routing/accountindex.h>
 #include <routing/chainpolicy.h>
 
@@ -57,7 +57,7 @@
     timer_queue timers;
     share_hooks hooks;
     hooks.timers = make_timer_hooks(timers, [] { return time_point(); });
-    share_holder holder(host_id("host"), hooks);
+    share_client holder(host_id("host"), hooks);
     std::vector<client_account> accounts = content.accounts;
     for (client_account& account : accounts) {
         account.limits = {};
@@ -78,13 +78,13 @@
 void grant_share(benchmark::State& state)
 {
     const account_limits limits{100, 50.0};
-    share_home home([&limits](const client_account_id&) { return &limits; });
+    share_allocator home([&limits](const client_account_id&) { return &limits; });
     std::size_t next = 0;
     for (auto _ : state) {
         const client_account_id account("account-" + std::to_string(next++ % bench::accounts));
-        const std::string question = encode_share_question({host_id("host-17"), {{account, 3, 2, 1}}});
+        const std::string question = encode_share_query({host_id("host-17"), {{account, 3, 2, 1}}});
         const std::string grants =
-            encode_share_grants(home.answer(decode_share_question(question), time_point()));
+            encode_share_grants(home.answer(decode_share_query(question), time_point()));
         benchmark::DoNotOptimize(decode_share_grants(grants));
     }
 }
--- a/bench/bench_sizes.cpp
+++ b/bench/bench_sizes.cpp
@@ -8,8 +8,8 @@
 #include <delivery/streamrelay.h>
 #include <entry/servingstate.h>
 #include <fleet/partstore.h>
-#include <fleet/shareholder.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
+#include <fleet/shareclient.h>
 #include <runtime/metrics.h>
 #include <support/sampleactivation.h>
 
@@ -41,7 +41,8 @@
 {
     const account_limits limits{100, 50.0};
     return bytes_for_each(bench::accounts, [&limits](std::size_t count) {
-        auto home = std::make_shared<share_home>([&limits](const client_account_id&) { return &limits; });
+        auto home =
+            std::make_shared<share_allocator>([&limits](const client_account_id&) { return &limits; });
         for (std::size_t account = 0; account < count; ++account) {
             home->answer(
                 {host_id("host-17"), {{client_account_id("account-" + std::to_string(account)), 3, 2, 1}}},
@@ -58,7 +59,7 @@
     share_hooks hooks;
     hooks.timers = make_timer_hooks(timers, [] { return time_point(); });
     return bytes_for_each(bench::accounts, [&](std::size_t) {
-        auto holder = std::make_shared<share_holder>(host_id("host"), hooks);
+        auto holder = std::make_shared<share_client>(host_id("host"), hooks);
         for (client_account account : content.accounts) {
             account.limits = {};
             holder->admit(account, [](const std::optional<share_refusal>&) {});
@@ -224,7 +225,7 @@
     sizes["share_bytes_at_home"] = share_bytes();
     sizes["share_bytes_at_holder"] = holder_bytes();
     const client_account_id account("account-1234");
-    sizes["share_question_bytes"] = encode_share_question({host_id("host-17"), {{account, 3, 2, 1}}}).size();
+    sizes["share_question_bytes"] = encode_share_query({host_id("host-17"), {{account, 3, 2, 1}}}).size();
     sizes["share_grant_bytes"] = encode_share_grants({{account, 5, 1}}).size();
     sizes["load_bytes_an_upstream"] = load_bytes();
     sizes["histogram_bytes_an_account"] = histogram_bytes();
--- a/src/app/sailtillerd/hostprocess.cpp
+++ b/src/app/sailtillerd/hostprocess.cpp
@@ -97,13 +97,13 @@
         static const std::vector<listed_host> none;
         return this->hosts ? this->hosts->live_hosts() : none;
     };
-    hooks.answer_wishes = [this](const share_question& question) {
+    hooks.answer_wishes = [this](const share_query& question) {
         return this->home.answer(question, this->loop.now());
     };
     hooks.tell_bundle = [this](const std::vector<part_digest>& wanted) {
         return this->follower.answer_peer(wanted);
     };
-    hooks.take_bundle = [this](const peer_bundle_state& state) { this->follower.take_peer_state(state); };
+    hooks.take_bundle = [this](const peer_bundle_state& state) { this->follower.handle_peer_state(state); };
     return hooks;
 }
 
@@ -112,10 +112,10 @@
     share_hooks hooks;
     hooks.timers = this->loop.hooks();
     hooks.live_hosts = [this] { return this->live_names; };
-    hooks.ask_home = [this](const host_id& owner, const share_question& question,
-                         const std::function<void(const std::vector<share_grant>&)>& on_grants,
-                         const std::function<void()>& on_failure) {
-        this->peers.ask_home(owner, question, on_grants, on_failure);
+    hooks.query_allocator = [this](const host_id& owner, const share_query& question,
+                                const std::function<void(const std::vector<share_grant>&)>& on_grants,
+                                const std::function<void()>& on_failure) {
+        this->peers.query_allocator(owner, question, on_grants, on_failure);
     };
     return hooks;
 }
--- a/src/app/sailtillerd/hostprocess.h
+++ b/src/app/sailtillerd/hostprocess.h
@@ -6,7 +6,7 @@
 #include "peerlink.h"
 
 #include <entry/entryservice.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
 #include <runtime/signalwatch.h>
 
 namespace sailtiller {
@@ -48,9 +48,9 @@
     load_table loads;
     host_metrics metrics;
     decision_log decisions;
-    share_home home;
+    share_allocator home;
     peer_link peers;
-    share_holder shares;
+    share_client shares;
     retry_budget retries;
     engine_client engines;
     service_client services;
--- a/src/app/sailtillerd/peerlink.cpp
+++ b/src/app/sailtillerd/peerlink.cpp
@@ -49,7 +49,7 @@
     const std::vector<listed_host> chosen = this->choose_peers();
     for (const listed_host& host : chosen) {
         this->client.ask(
-            host.peer_address, bundle_question, encode_bundle_question(missing), bundle_answer_limit,
+            host.peer_address, bundle_query, encode_bundle_query(missing), bundle_answer_limit,
             [this, name = host.name](const std::string& body) { this->take_bundle_answer(name, body); },
             [name = host.name](const peer_failure& failure) {
                 log_event(log_level::info, event_type::peer_unreachable,
@@ -79,7 +79,7 @@
     return std::nullopt;
 }
 
-void peer_link::ask_home(const host_id& home, const share_question& question,
+void peer_link::query_allocator(const host_id& home, const share_query& question,
     const std::function<void(const std::vector<share_grant>&)>& on_grants,
     const std::function<void()>& on_failure)
 {
@@ -93,7 +93,7 @@
         return;
     }
     this->client.ask(
-        *address, share_question_method, encode_share_question(question), home_answer_limit,
+        *address, share_query_method, encode_share_query(question), home_answer_limit,
         [on_grants, on_failure](const std::string& body) {
             std::vector<share_grant> grants;
             try {
@@ -110,12 +110,11 @@
 std::optional<std::string> peer_link::answer(const std::string& method, const std::string& body)
 {
     try {
-        if (method == share_question_method) {
-            return encode_share_grants(this->hooks.answer_wishes(decode_share_question(body)));
+        if (method == share_query_method) {
+            return encode_share_grants(this->hooks.answer_wishes(decode_share_query(body)));
         }
-        if (method == bundle_question) {
-            const std::optional<peer_bundle_state> state =
-                this->hooks.tell_bundle(decode_bundle_question(body));
+        if (method == bundle_query) {
+            const std::optional<peer_bundle_state> state = this->hooks.tell_bundle(decode_bundle_query(body));
             return state ? std::optional<std::string>(encode_bundle_state(*state)) : std::nullopt;
         }
     } catch (const error& malformed) {
--- a/src/app/sailtillerd/peerlink.h
+++ b/src/app/sailtillerd/peerlink.h
@@ -17,7 +17,7 @@
     random_function random;
     data_hall_id data_hall; ///< peers in the same hall are asked first
     std::function<const std::vector<listed_host>&()> live_hosts;
-    std::function<std::vector<share_grant>(const share_question&)> answer_wishes;
+    std::function<std::vector<share_grant>(const share_query&)> answer_wishes;
     std::function<std::optional<peer_bundle_state>(const std::vector<part_digest>&)> tell_bundle;
     std::function<void(const peer_bundle_state&)> take_bundle;
 };
@@ -33,7 +33,7 @@
     /// Asks some peers for the bundle in force and for parts. Returns how many were asked.
     std::size_t ask_for_bundle(const std::vector<part_digest>& missing);
     /// Asks an account's home for a share; the home may be this host.
-    void ask_home(const host_id& home, const share_question& question,
+    void query_allocator(const host_id& home, const share_query& question,
         const std::function<void(const std::vector<share_grant>&)>& on_grants,
         const std::function<void()>& on_failure);
 
--- a/src/app/sailtillerd/sitehost.cpp
+++ b/src/app/sailtillerd/sitehost.cpp
@@ -217,7 +217,7 @@
         this->suspects.take_report(report);
         this->limits.take_report(report);
     };
-    hooks.answer_limit = [this](const limit_question& question) { return this->limits.answer(question); };
+    hooks.answer_limit = [this](const limit_query& question) { return this->limits.answer(question); };
     hooks.give_bundle = [this] { return this->bundles.give(); };
     hooks.give_entries = [this](const std::optional<log_offset>& known) { return this->entries.give(known); };
     hooks.on_records = [this](const host_table& hosts) {
@@ -296,7 +296,7 @@
 void site_host::take_round(const host_table& hosts)
 {
     const time_point now = this->loop.now();
-    this->retries.set_sharing_hosts(hosts.heard_count(now, this->retries.window()));
+    this->retries.set_sharing_hosts(hosts.recently_present_count(now, this->retries.window()));
     std::vector<host_id> present = hosts.present_ids(now);
     this->pipes.set_live_hosts(present.size());
     this->health.set_live_hosts(std::move(present));
@@ -305,7 +305,7 @@
         shares[id] = {work.token_layers, work.requests};
     }
     this->loads.set_others(shares);
-    this->loads.set_unheard_hosts(hosts.unheard_count(now));
+    this->loads.set_unheard_hosts(hosts.pending_host_count(now));
     this->take_place(hosts);
     if (hosts.live_count(now) <= 1) {
         this->reading.note_alone(now);
--- a/src/app/sailtillerd/sitelimits.cpp
+++ b/src/app/sailtillerd/sitelimits.cpp
@@ -22,12 +22,12 @@
     this->holder.note_start(this->loop.now());
 }
 
-limit_holder_hooks site_limits::make_hooks()
+limit_client_hooks site_limits::make_hooks()
 {
-    limit_holder_hooks hooks;
+    limit_client_hooks hooks;
     hooks.timers = this->loop.hooks();
     hooks.hosts = [this] { return this->peers.hosts().present_ids(this->loop.now()); };
-    hooks.ask = [this](const host_id& home, const limit_question& question,
+    hooks.ask = [this](const host_id& home, const limit_query& question,
                     const std::function<void(const limit_grant&)>& on_grant,
                     const std::function<void()>& on_failure) {
         if (home == question.holder) {
@@ -44,7 +44,7 @@
     return hooks;
 }
 
-limit_grant site_limits::answer(const limit_question& question)
+limit_grant site_limits::answer(const limit_query& question)
 {
     const time_point now = this->loop.now();
     return this->home.answer(question, this->holder.uptime(now), this->is_leaving(), now);
@@ -62,7 +62,7 @@
 
 void site_limits::fill_report(peer_report& report) const
 {
-    report.limits = this->limits.list_news(this->loop.now());
+    report.limits = this->limits.list_updates(this->loop.now());
 }
 
 void site_limits::take_report(const peer_report& report)
--- a/src/app/sailtillerd/sitelimits.h
+++ b/src/app/sailtillerd/sitelimits.h
@@ -3,8 +3,8 @@
 
 #include "sitepeers.h"
 
-#include <fleet/limitholder.h>
-#include <fleet/limithome.h>
+#include <fleet/limitallocator.h>
+#include <fleet/limitclient.h>
 
 namespace sailtiller {
 
@@ -19,17 +19,17 @@
 
     /// This process has begun.
     void start();
-    [[nodiscard]] limit_holder& own_part() { return this->holder; }
+    [[nodiscard]] limit_client& own_part() { return this->holder; }
     [[nodiscard]] const upstream_limits& records() const { return this->limits; }
     /// Answers another host, or this one.
-    limit_grant answer(const limit_question& question);
+    limit_grant answer(const limit_query& question);
     void fill_report(peer_report& report) const;
     void take_report(const peer_report& report);
     /// Forgets upstreams that are gone, and what is of no use any more.
     void tidy(const std::function<bool(const upstream_id&)>& is_known);
 
 private:
-    limit_holder_hooks make_hooks();
+    limit_client_hooks make_hooks();
     void note_change(const limit_statement& statement) const;
 
     event_loop& loop;
@@ -37,8 +37,8 @@
     std::function<bool()> is_leaving;
     std::function<void(event_type)> on_belief;
     upstream_limits limits;
-    limit_home home;
-    limit_holder holder;
+    limit_allocator home;
+    limit_client holder;
 };
 
 } // namespace sailtiller
--- a/src/app/sailtillerd/sitepeers.cpp
+++ b/src/app/sailtillerd/sitepeers.cpp
@@ -140,7 +140,7 @@
 
 void site_peers::take(const peer_report& report)
 {
-    this->table.note_heard(report, this->loop.now());
+    this->table.record_report(report, this->loop.now());
     this->hooks.take_report(report);
 }
 
@@ -161,7 +161,7 @@
 void site_peers::ask_peers()
 {
     std::size_t asked = 0;
-    for (const known_host& peer : this->table.choose_asked(this->loop.now())) {
+    for (const known_host& peer : this->table.select_hosts_to_query(this->loop.now())) {
         this->ask(peer, asked < peers_asked_for_changes);
         ++asked;
     }
@@ -206,7 +206,7 @@
             }
             try {
                 const std::string text = unpack_text(*answer, most_text_bytes);
-                this->table.take_all(decode_host_news(text), this->loop.now());
+                this->table.merge_states(decode_host_news(text), this->loop.now());
             } catch (const error& malformed) {
                 log_event(log_level::warning, event_type::peer_answer_malformed,
                     {{"step", malformed.step()}, {"peer", name.value()}, {"reason", malformed.reason()}});
@@ -238,11 +238,11 @@
     this->ask_text(peer, entries_method, encode_entry_question(known), "ask for entries", on_answer);
 }
 
-void site_peers::ask_limit(const known_host& peer, const limit_question& question,
+void site_peers::ask_limit(const known_host& peer, const limit_query& question,
     const std::function<void(const limit_grant&)>& on_grant, const std::function<void()>& on_failure)
 {
     this->client.ask(
-        peer.address, limit_question_method, encode_limit_question(question), limit_answer_limit,
+        peer.address, limit_query_method, encode_limit_query(question), limit_answer_limit,
         [on_grant, on_failure, name = peer.id](const std::string& body) {
             std::optional<limit_grant> grant;
             try {
@@ -291,8 +291,8 @@
     if (method == hosts_method) {
         return pack_text(encode_host_news(this->table.list_states()));
     }
-    if (method == limit_question_method) {
-        return encode_limit_grant(this->hooks.answer_limit(decode_limit_question(body)));
+    if (method == limit_query_method) {
+        return encode_limit_grant(this->hooks.answer_limit(decode_limit_query(body)));
     }
     return std::nullopt;
 }
--- a/src/app/sailtillerd/sitepeers.h
+++ b/src/app/sailtillerd/sitepeers.h
@@ -30,7 +30,7 @@
     std::function<void(const host_table&)> on_records;
     std::function<bool()> reads_store;
     /// Answers a host that asks for requests of an upstream's limit.
-    std::function<limit_grant(const limit_question&)> answer_limit;
+    std::function<limit_grant(const limit_query&)> answer_limit;
 };
 
 /// The exchange of reports among the hosts of a site. Hosts find each other by their records in the store,
@@ -55,7 +55,7 @@
     void ask_entries(
         const known_host& peer, const std::optional<log_offset>& known, const text_handler& on_answer);
     /// Asks a peer for requests of an upstream's limit; one of the handlers runs later.
-    void ask_limit(const known_host& peer, const limit_question& question,
+    void ask_limit(const known_host& peer, const limit_query& question,
         const std::function<void(const limit_grant&)>& on_grant, const std::function<void()>& on_failure);
     [[nodiscard]] const host_table& hosts() const { return this->table; }
 
--- a/src/app/sailtillerd/sitesuspects.cpp
+++ b/src/app/sailtillerd/sitesuspects.cpp
@@ -70,12 +70,12 @@
 
 void site_suspects::fill_report(peer_report& report) const
 {
-    report.crashes = this->suspects.list_news(this->loop.now());
+    report.crashes = this->suspects.list_updates(this->loop.now());
 }
 
 void site_suspects::take_report(const peer_report& report)
 {
-    this->suspects.take_news(report.crashes, this->loop.now());
+    this->suspects.handle_updates(report.crashes, this->loop.now());
 }
 
 void site_suspects::tidy(bool ends_records)
--- a/src/app/sailtillerd/upstreamhealth.cpp
+++ b/src/app/sailtillerd/upstreamhealth.cpp
@@ -94,7 +94,7 @@
     for (const upstream_suspicion& item : report.unwilling) {
         this->loads.avoid(item.id, now + item.left);
     }
-    for (const upstream_sign& sign : report.signs) {
+    for (const upstream_probe_result& sign : report.signs) {
         this->told.clear(sign.id);
         this->watch.prober().note_told_alive(sign.id, sign.pace, now - sign.age);
     }
--- a/src/libs/delivery/deliverycontext.h
+++ b/src/libs/delivery/deliverycontext.h
@@ -10,7 +10,7 @@
 #include <delivery/callerrequest.h>
 #include <delivery/streamend.h>
 #include <fleet/crashsuspects.h>
-#include <fleet/limitholder.h>
+#include <fleet/limitclient.h>
 #include <health/stallwatch.h>
 #include <routing/layerpath.h>
 #include <routing/pipemeter.h>
@@ -134,7 +134,7 @@
     std::function<void(const request_content&, const std::function<void(bool is_given)>& on_answer)>
         claim_trial;
     /// This host's part of the requests a second that upstreams say they take.
-    limit_holder& limits;
+    limit_client& limits;
     /// Told each upstream that says in an answer that it leaves.
     std::function<void(const upstream_id&)> on_leaving;
     /// Upstreams that asked this host to send them nothing for a while.
--- a/src/libs/delivery/suspectguard.cpp
+++ b/src/libs/delivery/suspectguard.cpp
@@ -34,17 +34,17 @@
             this->context.settings.retry_after);
         return false;
     }
-    const judged_request judged = this->context.suspects.judge(this->content(), this->context.timers.now());
-    switch (judged.judgement) {
-    case send_judgement::free:
+    const send_assessment judged = this->context.suspects.assess(this->content(), this->context.timers.now());
+    switch (judged.decision) {
+    case send_decision::free:
         return true;
-    case send_judgement::later:
+    case send_decision::later:
         refuse("upstreams ended under this request; it is tried again later", judged.wait);
         return false;
-    case send_judgement::never:
+    case send_decision::never:
         refuse("upstreams ended under this request in all its trials", judged.wait);
         return false;
-    case send_judgement::trial:
+    case send_decision::trial:
         break;
     }
     this->trial = trial_state::asking;
@@ -92,7 +92,7 @@
 void suspect_guard::note_whole()
 {
     if (!this->context.suspects.is_empty()) {
-        this->context.suspects.note_sound(this->content(), this->context.timers.now());
+        this->context.suspects.note_completed(this->content(), this->context.timers.now());
     }
 }
 
--- a/src/libs/delivery/upstreamgate.cpp
+++ b/src/libs/delivery/upstreamgate.cpp
@@ -28,7 +28,7 @@
         return true;
     }
     // A caller that has come back is held until its part of a limit comes.
-    return !this->order.has_come_back() && this->context.limits.is_used_up(id);
+    return !this->order.has_come_back() && this->context.limits.is_exhausted(id);
 }
 
 std::optional<duration> upstream_gate::closed_for(
--- a/src/libs/entry/entrycontext.h
+++ b/src/libs/entry/entrycontext.h
@@ -5,7 +5,7 @@
 #include <engines/engineclient.h>
 #include <engines/serviceclient.h>
 #include <entry/servingstate.h>
-#include <fleet/shareholder.h>
+#include <fleet/shareclient.h>
 #include <routing/retrybudget.h>
 #include <runtime/eventlog.h>
 #include <runtime/httpexchange.h>
@@ -23,7 +23,7 @@
     service_client& services;
     host_metrics& metrics;
     decision_log& decisions;
-    share_holder& shares;
+    share_client& shares;
     retry_budget& retries;
 };
 
--- a/src/libs/fleet/bundlefollower.cpp
+++ b/src/libs/fleet/bundlefollower.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// Records that one host carries forward in one look, well below the log's some hundred appends a second.
-constexpr std::size_t most_carried_at_once = 20;
+constexpr std::size_t max_renewals_per_round = 20;
 constexpr std::uint32_t most_doublings = 10;
 /// Peers are asked so often for missing parts before the log is searched for them.
-constexpr std::uint32_t questions_before_search = 1;
+constexpr std::uint32_t part_queries_before_search = 1;
 constexpr duration pause_at_head = std::chrono::milliseconds(50);
 const std::string activation_record = "activation";
 
@@ -21,7 +21,7 @@
     : settings(std::move(settings))
     , hooks(std::move(hooks))
     , activations(this->settings.trust)
-    , store(this->settings.most_spare_bytes)
+    , store(this->settings.max_unpinned_bytes)
     , duty(this->settings.carrier, this->settings.self)
 {
 }
@@ -37,7 +37,7 @@
     this->read_timer = this->hooks.timers.schedule_after(wait, [this] { this->begin_reading(); });
     this->peer_timer =
         this->hooks.timers.schedule_after(this->settings.peer_interval, [this] { this->check_with_peers(); });
-    this->carry_forward();
+    this->renew_due_records();
 }
 
 void bundle_follower::begin_reading()
@@ -53,7 +53,7 @@
 void bundle_follower::stop()
 {
     this->is_running = false;
-    for (timer_id* timer : {&this->read_timer, &this->peer_timer, &this->carry_timer}) {
+    for (timer_id* timer : {&this->read_timer, &this->peer_timer, &this->renewal_timer}) {
         this->hooks.timers.cancel(*timer);
         *timer = 0;
     }
@@ -108,7 +108,7 @@
             this->duty.note_seen(part->digest.value(), now);
         } else {
             this->duty.note_seen(activation_record, now);
-            this->protect_accepted();
+            this->pin_accepted_parts();
         }
     } catch (const error& malformed) {
         this->activations.skip(entry.offset);
@@ -117,7 +117,7 @@
     }
 }
 
-void bundle_follower::protect_accepted()
+void bundle_follower::pin_accepted_parts()
 {
     const std::optional<accepted_activation>& accepted = this->activations.in_force();
     const bool is_applied = accepted && this->applied && this->applied->source.id == accepted->content.id;
@@ -126,7 +126,7 @@
     }
     const std::string* manifest = this->store.find(accepted->content.manifest);
     try {
-        this->keep_parts(
+        this->pin_parts(
             manifest == nullptr ? bundle_manifest{} : read_manifest(*manifest), accepted->content.manifest);
     } catch (const error&) {
         return; // `apply` tells that the manifest can't be used
@@ -167,8 +167,9 @@
     if (!this->is_log_reachable || has_gap || !missing.empty()) {
         this->hooks.ask_peers(missing);
     }
-    this->asked_in_vain = missing.empty() ? 0 : this->asked_in_vain + 1;
-    if (this->asked_in_vain > questions_before_search && this->is_log_reachable && !this->is_searching) {
+    this->unanswered_part_queries = missing.empty() ? 0 : this->unanswered_part_queries + 1;
+    if (this->unanswered_part_queries > part_queries_before_search && this->is_log_reachable
+        && !this->is_searching) {
         this->is_searching = true;
         this->search_log(log_offset(0));
     }
@@ -215,7 +216,7 @@
     }
 }
 
-void bundle_follower::take_peer_state(const peer_bundle_state& state)
+void bundle_follower::handle_peer_state(const peer_bundle_state& state)
 {
     const std::vector<part_digest> wanted_before = this->wanted_parts();
     for (const std::string& body : state.parts) {
@@ -264,7 +265,7 @@
         this->apply_manifest(source, *manifest);
         return;
     }
-    this->protect_accepted();
+    this->pin_accepted_parts();
 }
 
 void bundle_follower::apply_manifest(const activation& source, const std::string& manifest_body)
@@ -272,7 +273,7 @@
     try {
         const bundle_manifest manifest = read_manifest(manifest_body);
         if (!missing_parts(manifest, this->store.lookup()).empty()) {
-            this->protect_accepted();
+            this->pin_accepted_parts();
             return;
         }
         const std::string approval = sign_off_message(this->settings.trust.deployment, source.manifest);
@@ -287,10 +288,10 @@
         auto next = std::make_shared<bundle_in_force>();
         next->content = this->assembler.assemble(manifest, this->store.lookup());
         next->source = source;
-        this->carried_parts = manifest.parts;
-        this->carried_parts.push_back(source.manifest);
-        this->store.keep(this->carried_parts);
-        for (const part_digest& digest : this->carried_parts) {
+        this->active_parts = manifest.parts;
+        this->active_parts.push_back(source.manifest);
+        this->store.keep(this->active_parts);
+        for (const part_digest& digest : this->active_parts) {
             this->duty.note_needed(digest.value(), this->hooks.timers.now());
         }
         this->applied = std::move(next);
@@ -301,9 +302,9 @@
     }
 }
 
-void bundle_follower::keep_parts(const bundle_manifest& next, const part_digest& manifest)
+void bundle_follower::pin_parts(const bundle_manifest& next, const part_digest& manifest)
 {
-    std::vector<part_digest> kept = this->carried_parts;
+    std::vector<part_digest> kept = this->active_parts;
     kept.insert(kept.end(), next.parts.begin(), next.parts.end());
     kept.push_back(manifest);
     this->store.keep(kept);
@@ -316,17 +317,17 @@
     this->hooks.on_event(event_type::bundle_refused, source.operator_name, reason);
 }
 
-void bundle_follower::carry_forward()
+void bundle_follower::renew_due_records()
 {
     if (this->is_log_reachable && this->activations.is_complete() && this->applied) {
         const std::vector<std::string> due =
-            this->duty.due(this->hooks.timers.now(), this->hooks.live_hosts(), most_carried_at_once);
+            this->duty.due(this->hooks.timers.now(), this->hooks.live_hosts(), max_renewals_per_round);
         for (const std::string& record : due) {
             this->carry(record);
         }
     }
-    this->carry_timer =
-        this->hooks.timers.schedule_after(this->settings.carry_interval, [this] { this->carry_forward(); });
+    this->renewal_timer = this->hooks.timers.schedule_after(
+        this->settings.renewal_interval, [this] { this->renew_due_records(); });
 }
 
 void bundle_follower::carry(const std::string& record)
--- a/src/libs/fleet/bundlefollower.h
+++ b/src/libs/fleet/bundlefollower.h
@@ -7,8 +7,8 @@
 #include <bundle/activationfold.h>
 #include <bundle/bundleassembler.h>
 #include <fleet/bundlemessages.h>
-#include <fleet/carrierduty.h>
 #include <fleet/partstore.h>
+#include <fleet/renewalschedule.h>
 
 #include <memory>
 
@@ -19,7 +19,7 @@
 {
     host_id self;
     trust_settings trust;
-    carrier_settings carrier;
+    renewal_settings carrier;
     duration read_wait = std::chrono::seconds(5); ///< how long one read of the log may wait for a record
     duration retry_pause = std::chrono::milliseconds(500); ///< before the log is read again after a failure
     duration longest_retry_pause = std::chrono::seconds(8);
@@ -27,8 +27,8 @@
     duration first_peer_wait = std::chrono::milliseconds(500);
     duration peer_interval =
         std::chrono::seconds(2); ///< between questions to peers while the log doesn't serve
-    duration carry_interval = std::chrono::seconds(5); ///< between looks at what must be carried forward
-    std::size_t most_spare_bytes = 4U << 20U; ///< parts published and not in force; others are found again
+    duration renewal_interval = std::chrono::seconds(5); ///< between looks at what must be carried forward
+    std::size_t max_unpinned_bytes = 4U << 20U; ///< parts published and not in force; others are found again
 };
 
 /// A bundle that has taken force on this host.
@@ -46,7 +46,7 @@
     /// The hosts that are live by the platform's list, this one included.
     std::function<std::vector<host_id>()> live_hosts;
     /// Asks some peers for their state and for parts, and returns how many; answers come through
-    /// `take_peer_state`.
+    /// `handle_peer_state`.
     std::function<std::size_t(const std::vector<part_digest>& missing)> ask_peers;
     /// Takes a checked bundle into force.
     std::function<void(std::shared_ptr<const bundle_in_force>)> on_bundle;
@@ -77,7 +77,7 @@
     void start();
     void stop();
     /// A peer has answered `ask_peers`.
-    void take_peer_state(const peer_bundle_state& state);
+    void handle_peer_state(const peer_bundle_state& state);
     /// What this host answers when a peer asks; empty if it has no confirmed state.
     [[nodiscard]] std::optional<peer_bundle_state> answer_peer(const std::vector<part_digest>& wanted) const;
 
@@ -92,7 +92,7 @@
     void handle_page(const log_page& page);
     void handle_entry(const log_entry& entry);
     /// Keeps the parts of an accepted bundle from being dropped by what follows it in the log.
-    void protect_accepted();
+    void pin_accepted_parts();
     void handle_log_failure(const error& failure);
     void check_with_peers();
     /// Reads the log from its beginning for parts that this host has dropped and no peer gave.
@@ -101,9 +101,9 @@
     void apply();
     void apply_manifest(const activation& source, const std::string& manifest_body);
     /// Protects the parts of a bundle that is still being gathered, besides those in force.
-    void keep_parts(const bundle_manifest& next, const part_digest& manifest);
+    void pin_parts(const bundle_manifest& next, const part_digest& manifest);
     void refuse(const activation& source, const std::string& reason);
-    void carry_forward();
+    void renew_due_records();
     void carry(const std::string& record);
     [[nodiscard]] std::vector<part_digest> wanted_parts() const;
 
@@ -112,9 +112,9 @@
     activation_fold activations;
     part_store store;
     bundle_assembler assembler;
-    carrier_duty duty;
+    renewal_schedule duty;
     std::shared_ptr<const bundle_in_force> applied;
-    std::vector<part_digest> carried_parts; ///< of the bundle in force, its manifest included
+    std::vector<part_digest> active_parts; ///< of the bundle in force, its manifest included
     activation_id refused; ///< in force by the log, and yet not applicable here
     std::string refusal;
     bool is_running = false;
@@ -122,11 +122,11 @@
     bool has_reached_head = false;
     bool is_reading = false;
     bool is_searching = false;
-    std::uint32_t asked_in_vain = 0; ///< questions to peers since parts are missing
+    std::uint32_t unanswered_part_queries = 0; ///< questions to peers since parts are missing
     std::uint32_t failures_in_a_row = 0;
     timer_id read_timer = 0;
     timer_id peer_timer = 0;
-    timer_id carry_timer = 0;
+    timer_id renewal_timer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/libs/fleet/bundlemessages.cpp
+++ b/src/libs/fleet/bundlemessages.cpp
@@ -4,7 +4,7 @@
 
 namespace sailtiller {
 
-std::string encode_bundle_question(const std::vector<part_digest>& wanted)
+std::string encode_bundle_query(const std::vector<part_digest>& wanted)
 {
     json digests = json::array();
     for (const part_digest& digest : wanted) {
@@ -13,7 +13,7 @@
     return to_cbor(digests);
 }
 
-std::vector<part_digest> decode_bundle_question(const std::string& bytes)
+std::vector<part_digest> decode_bundle_query(const std::string& bytes)
 {
     return decode_cbor("read bundle question", bytes, [](const json& item) {
         std::vector<part_digest> wanted;
--- a/src/libs/fleet/bundlemessages.h
+++ b/src/libs/fleet/bundlemessages.h
@@ -9,7 +9,7 @@
 namespace sailtiller {
 
 /// The question by which a host asks a peer for the bundle in force, as the method of a peer stream.
-constexpr const char* bundle_question = "bundle";
+constexpr const char* bundle_query = "bundle";
 
 /// What a peer tells of the bundle in force.
 struct peer_bundle_state
@@ -19,8 +19,8 @@
 };
 
 /// All four are CBOR; the readers throw `error` if the bytes have not the shape.
-std::string encode_bundle_question(const std::vector<part_digest>& wanted);
-std::vector<part_digest> decode_bundle_question(const std::string& bytes);
+std::string encode_bundle_query(const std::vector<part_digest>& wanted);
+std::vector<part_digest> decode_bundle_query(const std::string& bytes);
 std::string encode_bundle_state(const peer_bundle_state& state);
 peer_bundle_state decode_bundle_state(const std::string& bytes);
 
--- a/src/libs/fleet/crashsuspects.cpp
+++ b/src/libs/fleet/crashsuspects.cpp
@@ -17,10 +17,10 @@
         [](const auto& item) { return is_suspect(item.second); }));
 }
 
-duration crash_suspects::memory_of(const entry& item) const
+duration crash_suspects::retention_of(const entry& item) const
 {
     const bool was_suspect = is_suspect(item) || item.clearances > 0;
-    return was_suspect ? this->settings.suspect_memory : this->settings.memory;
+    return was_suspect ? this->settings.suspect_retention : this->settings.memory;
 }
 
 duration crash_suspects::pause_after(unsigned trials) const
@@ -48,13 +48,13 @@
     if (found != this->records.end()) {
         return found->second;
     }
-    this->make_room();
+    this->evict_oldest();
     entry& item = this->records[content];
     item.renewed = now;
     return item;
 }
 
-void crash_suspects::make_room()
+void crash_suspects::evict_oldest()
 {
     if (this->records.size() < this->settings.most_records) {
         return;
@@ -92,7 +92,7 @@
     item.renewed = now;
 }
 
-void crash_suspects::take_clearances(entry& item, unsigned clearances, time_point now)
+void crash_suspects::apply_clearances(entry& item, unsigned clearances, time_point now)
 {
     if (clearances <= item.clearances) {
         return;
@@ -108,7 +108,7 @@
     this->add_crash(content, this->find_or_add(content, now), upstream, now);
 }
 
-void crash_suspects::note_sound(const request_content& content, time_point now)
+void crash_suspects::note_completed(const request_content& content, time_point now)
 {
     const auto found = this->records.find(content);
     if (found == this->records.end()) {
@@ -119,7 +119,7 @@
         return;
     }
     const bool was_suspect = is_suspect(item);
-    take_clearances(item, item.clearances + 1, now);
+    apply_clearances(item, item.clearances + 1, now);
     if (was_suspect) {
         this->tell(event_type::request_cleared, content);
     }
@@ -128,13 +128,13 @@
 void crash_suspects::note_trials(const request_content& content, const trial_record& record, time_point now)
 {
     entry& item = this->find_or_add(content, now);
-    take_clearances(item, record.clearances, now);
+    apply_clearances(item, record.clearances, now);
     if (record.clearances == item.clearances) {
         add_trials(item, record.trials, now);
     }
 }
 
-judged_request crash_suspects::judge(const request_content& content, time_point now)
+send_assessment crash_suspects::assess(const request_content& content, time_point now)
 {
     const auto found = this->records.find(content);
     if (found == this->records.end() || !is_suspect(found->second)) {
@@ -142,14 +142,14 @@
     }
     entry& item = found->second;
     item.renewed = now;
-    if (item.trials >= most_trials) {
-        return {send_judgement::never, this->settings.suspect_memory};
+    if (item.trials >= max_trials) {
+        return {send_decision::never, this->settings.suspect_retention};
     }
     const duration left = item.last_trial + this->pause_after(item.trials) - now;
     if (item.trials > 0 && left > duration::zero()) {
-        return {send_judgement::later, left};
+        return {send_decision::later, left};
     }
-    return {send_judgement::trial, {}};
+    return {send_decision::trial, {}};
 }
 
 trial_record crash_suspects::trials_of(const request_content& content) const
@@ -159,7 +159,7 @@
                                         : trial_record{found->second.trials, found->second.clearances};
 }
 
-std::vector<crash_record> crash_suspects::list_news(time_point now) const
+std::vector<crash_record> crash_suspects::list_updates(time_point now) const
 {
     // Chosen before they are copied: of 512 records, a report of 32 takes 19 us so, and 132 us with all
     // copied.
@@ -167,11 +167,12 @@
     for (const auto& record : this->records) {
         const entry& item = record.second;
         // A host that has just started, or was cut off, must hear of every suspect request, however old.
-        if (is_suspect(item) || now - item.renewed <= this->settings.told_time) {
+        if (is_suspect(item) || now - item.renewed <= this->settings.report_window) {
             told.push_back(&record);
         }
     }
-    keep_latest(told, this->settings.most_told, [](const auto& record) { return record.second.renewed; });
+    keep_latest(
+        told, this->settings.max_per_report, [](const auto& record) { return record.second.renewed; });
     std::vector<crash_record> news;
     news.reserve(told.size());
     for (const auto* record : told) {
@@ -182,7 +183,7 @@
     return news;
 }
 
-void crash_suspects::take_news(const std::vector<crash_record>& news, time_point now)
+void crash_suspects::handle_updates(const std::vector<crash_record>& news, time_point now)
 {
     for (const crash_record& record : news) {
         entry& item = this->find_or_add(record.content, now - record.age);
@@ -191,7 +192,7 @@
             continue;
         }
         item.renewed = std::max(item.renewed, now - record.age);
-        take_clearances(item, record.clearances, now);
+        apply_clearances(item, record.clearances, now);
         for (const upstream_id& upstream : record.crashed) {
             this->add_crash(record.content, item, upstream, now);
         }
@@ -203,7 +204,7 @@
 {
     std::vector<request_content> tried;
     std::erase_if(this->records, [&](const auto& item) {
-        const bool is_old = now - item.second.renewed > this->memory_of(item.second);
+        const bool is_old = now - item.second.renewed > this->retention_of(item.second);
         if (is_old && item.second.trials > 0) {
             tried.push_back(item.first);
         }
--- a/src/libs/fleet/crashsuspects.h
+++ b/src/libs/fleet/crashsuspects.h
@@ -17,7 +17,7 @@
 /// cost; with fewer, a request that was twice beside the cause would wait for leave.
 constexpr std::size_t crashes_until_suspect = 3;
 /// Sends that the whole fleet gives a suspect request, by the users' sheets.
-constexpr unsigned most_trials = 3;
+constexpr unsigned max_trials = 3;
 
 /// What hosts tell each other of one request under which upstreams have ended.
 struct crash_record
@@ -47,12 +47,12 @@
     /// A request that never was suspect is forgotten after so long.
     duration memory = std::chrono::seconds(60);
     /// One that is or was, counted from when it last came to any host.
-    duration suspect_memory = std::chrono::minutes(10);
+    duration suspect_retention = std::chrono::minutes(10);
     /// News are told for so long: twenty rounds between hosts, as each host tells on what it hears.
-    duration told_time = std::chrono::seconds(5);
+    duration report_window = std::chrono::seconds(5);
     /// Records in one report, the newest; 3.4 kB with three ends each. Many engines that end at once leave
     /// hundreds.
-    std::size_t most_told = 32;
+    std::size_t max_per_report = 32;
     /// Pauses between two trials, so that a request that does end its upstreams costs one engine at once and
     /// not three, while a sound one is served by the first.
     duration second_trial_pause = std::chrono::seconds(5);
@@ -60,16 +60,16 @@
 };
 
 /// Whether a request may be sent.
-enum class send_judgement {
+enum class send_decision {
     free, ///< as any other
     trial, ///< it is suspect, and the fleet may try it once more
     later, ///< it is suspect, and its last trial isn't over or was just now
     never ///< it has ended its upstreams in all trials
 };
 
-struct judged_request
+struct send_assessment
 {
-    send_judgement judgement = send_judgement::free;
+    send_decision decision = send_decision::free;
     duration wait{}; ///< until it is worth coming back; of `later` and `never`
 };
 
@@ -84,9 +84,9 @@
 {
 public:
     /// Told when a request has become suspect, and when a suspect one proved sound on this host.
-    using news_handler = std::function<void(event_type, const request_content&)>;
+    using suspect_event_handler = std::function<void(event_type, const request_content&)>;
 
-    explicit crash_suspects(crash_suspects_settings settings = {}, news_handler on_news = nullptr)
+    explicit crash_suspects(crash_suspects_settings settings = {}, suspect_event_handler on_news = nullptr)
         : settings(settings)
         , on_news(std::move(on_news))
     {
@@ -99,17 +99,17 @@
     /// This start of an upstream ended while it began the request.
     void note_crash(const request_content& content, const upstream_id& upstream, time_point now);
     /// An upstream ran the request to its end.
-    void note_sound(const request_content& content, time_point now);
+    void note_completed(const request_content& content, time_point now);
     /// So many trials were given to the request, by the store's record.
     void note_trials(const request_content& content, const trial_record& record, time_point now);
     /// Whether the request, which came or is about to go out again, may be sent.
-    judged_request judge(const request_content& content, time_point now);
+    send_assessment assess(const request_content& content, time_point now);
     /// The trials that this host knows of.
     [[nodiscard]] trial_record trials_of(const request_content& content) const;
     /// What the next report tells.
-    [[nodiscard]] std::vector<crash_record> list_news(time_point now) const;
+    [[nodiscard]] std::vector<crash_record> list_updates(time_point now) const;
     /// What another host told.
-    void take_news(const std::vector<crash_record>& news, time_point now);
+    void handle_updates(const std::vector<crash_record>& news, time_point now);
     /// Forgets what is too old. Returns the requests of which trials are known, whose records in the store
     /// end with it.
     std::vector<request_content> forget_old(time_point now);
@@ -125,18 +125,18 @@
     };
 
     [[nodiscard]] static bool is_suspect(const entry& item);
-    [[nodiscard]] duration memory_of(const entry& item) const;
+    [[nodiscard]] duration retention_of(const entry& item) const;
     [[nodiscard]] duration pause_after(unsigned trials) const;
     entry& find_or_add(const request_content& content, time_point now);
-    void make_room();
+    void evict_oldest();
     void add_crash(const request_content& content, entry& item, const upstream_id& upstream, time_point now);
     static void add_trials(entry& item, unsigned trials, time_point now);
     /// All that was known of the request counts no more, as it was cleared so often.
-    static void take_clearances(entry& item, unsigned clearances, time_point now);
+    static void apply_clearances(entry& item, unsigned clearances, time_point now);
     void tell(event_type event, const request_content& content) const;
 
     crash_suspects_settings settings;
-    news_handler on_news;
+    suspect_event_handler on_news;
     std::map<request_content, entry> records;
 };
 
--- a/src/libs/fleet/hosttable.cpp
+++ b/src/libs/fleet/hosttable.cpp
@@ -57,26 +57,27 @@
 
 bool host_table::is_live(const entry& item, time_point now) const
 {
-    return item.heard && !item.is_leaving && now - *item.heard < this->settings.silence_limit;
+    return item.heard && !item.is_leaving && now - *item.heard < this->settings.heartbeat_timeout;
 }
 
 std::size_t host_table::partner_count() const
 {
-    return std::min(this->members.others().size(), this->settings.most_partners);
+    return std::min(this->members.others().size(), this->settings.max_partners);
 }
 
-bool host_table::is_heard_in_turn(const entry& item, time_point now) const
+bool host_table::is_live_by_turns(const entry& item, time_point now) const
 {
     // Two turns, so that one lost answer doesn't make a host seem gone.
-    const auto rounds = static_cast<duration::rep>(2 * this->partner_count() / this->settings.most_asked);
-    const duration limit = std::max(this->settings.silence_limit, rounds * this->settings.round_interval);
+    const auto rounds =
+        static_cast<duration::rep>(2 * this->partner_count() / this->settings.max_queries_per_round);
+    const duration limit = std::max(this->settings.heartbeat_timeout, rounds * this->settings.round_interval);
     return item.heard && !item.is_leaving && now - *item.heard < limit;
 }
 
 duration host_table::ask_interval(const entry& item, time_point now) const
 {
     if (!this->is_live(item, now)) {
-        return this->settings.gone_interval;
+        return this->settings.down_host_interval;
     }
     if (this->is_new(now)) {
         return duration::zero();
@@ -90,14 +91,14 @@
     return this->started && now - *this->started < this->settings.new_time;
 }
 
-std::size_t host_table::unheard_count(time_point now) const
+std::size_t host_table::pending_host_count(time_point now) const
 {
     const auto is_unheard = [this, now](const auto& item) {
-        return !item.second.heard && now - item.second.added < this->settings.silence_limit;
+        return !item.second.heard && now - item.second.added < this->settings.heartbeat_timeout;
     };
     const auto count =
         static_cast<std::size_t>(std::count_if(this->others.begin(), this->others.end(), is_unheard));
-    if (this->asks_all()) {
+    if (this->is_full_mesh()) {
         return count;
     }
     // Partners change as hosts come and go; only at its own start others may have started just now as well.
@@ -111,7 +112,7 @@
         place->second.host = host;
         place->second.added = now;
         place->second.turn = stable_hash(host.id.value(), stable_hash(this->own().id.value()));
-        place->second.is_partner = this->asks_all();
+        place->second.is_partner = this->is_full_mesh();
     }
     return place->second;
 }
@@ -122,7 +123,7 @@
         return;
     }
     this->members.add(host);
-    if (!this->asks_all()) {
+    if (!this->is_full_mesh()) {
         return;
     }
     entry& item = this->find_or_add(host, now);
@@ -132,14 +133,14 @@
     }
 }
 
-void host_table::note_heard(const peer_report& report, time_point now)
+void host_table::record_report(const peer_report& report, time_point now)
 {
     if (report.sender.id == this->own().id) {
         return;
     }
-    this->members.note_heard(report, now);
-    for (const host_news& news : report.news) {
-        this->members.take(news, membership::telling::passed_on, now);
+    this->members.record_report(report, now);
+    for (const host_state& news : report.news) {
+        this->members.take(news, membership::propagation::forwarded, now);
     }
     entry& item = this->find_or_add(report.sender, now);
     item.host = report.sender;
@@ -149,33 +150,34 @@
     item.work = report.work;
 }
 
-void host_table::take_all(const std::vector<host_news>& news, time_point now)
+void host_table::merge_states(const std::vector<host_state>& news, time_point now)
 {
-    for (const host_news& item : news) {
-        this->members.take(item, membership::telling::kept, now);
+    for (const host_state& item : news) {
+        this->members.take(item, membership::propagation::not_forwarded, now);
     }
 }
 
 void host_table::forget_old(time_point now)
 {
     std::erase_if(this->others, [this, now](const auto& item) {
-        const bool is_old = now - item.second.heard.value_or(item.second.added) > this->settings.forget_after;
+        const bool is_old =
+            now - item.second.heard.value_or(item.second.added) > this->settings.forget_timeout;
         if (is_old && item.second.is_partner) {
             this->members.forget(item.first);
         }
         return is_old;
     });
-    this->members.forget_gone(now);
+    this->members.remove_expired_down(now);
 }
 
-void host_table::choose_partners(time_point now)
+void host_table::select_partners(time_point now)
 {
     if (this->partners_version == this->members.version()) {
         return;
     }
     this->partners_version = this->members.version();
-    if (!this->asks_all()) {
-        this->choose_partners_of_large_fleet(now);
+    if (!this->is_full_mesh()) {
+        this->select_partners_of_large_fleet(now);
         return;
     }
     for (const auto& [id, known] : this->members.others()) {
@@ -183,13 +185,13 @@
     }
 }
 
-void host_table::choose_partners_of_large_fleet(time_point now)
+void host_table::select_partners_of_large_fleet(time_point now)
 {
     std::vector<std::pair<std::uint64_t, const known_host*>> near;
     std::vector<std::pair<std::uint64_t, const known_host*>> far;
     const std::uint64_t seed = stable_hash(this->own().id.value());
     for (const auto& [id, known] : this->members.others()) {
-        if (known.gone_since) {
+        if (known.down_since) {
             continue;
         }
         const bool is_near = known.state.host.data_hall == this->own().data_hall;
@@ -197,7 +199,7 @@
     }
     std::sort(near.begin(), near.end());
     std::sort(far.begin(), far.end());
-    const std::size_t most = this->settings.most_partners;
+    const std::size_t most = this->settings.max_partners;
     const std::size_t least_near = most - std::min(most, far.size());
     const std::size_t near_count =
         std::min(near.size(), std::max(this->settings.partners_of_own_hall, least_near));
@@ -223,13 +225,13 @@
     }
 }
 
-void host_table::look_for_missed(time_point now)
+void host_table::detect_unreachable_partners(time_point now)
 {
-    if (now - this->last_round > this->settings.unanswered_limit) {
+    if (now - this->last_round > this->settings.answer_timeout) {
         this->awake_since = now; // this host itself stood still
     }
     this->last_round = now;
-    if (this->is_new(now) || now - this->awake_since < this->settings.missed_limit) {
+    if (this->is_new(now) || now - this->awake_since < this->settings.unreachable_timeout) {
         return;
     }
     time_point last_heard{};
@@ -240,22 +242,22 @@
         const bool is_unanswered = item.asked > item.heard.value_or(time_point{});
         const bool are_others_heard = last_heard > item.asked;
         if (item.is_partner && is_unanswered && are_others_heard
-            && now - item.asked >= this->settings.missed_limit) {
-            this->members.note_missed(id, now);
+            && now - item.asked >= this->settings.unreachable_timeout) {
+            this->members.note_unreachable(id, now);
         }
     }
 }
 
-std::optional<known_host> host_table::next_gone()
+std::optional<known_host> host_table::next_down_host()
 {
     const std::map<host_id, member>& all = this->members.others();
-    auto item = all.upper_bound(this->last_gone_asked);
+    auto item = all.upper_bound(this->last_down_host_queried);
     for (std::size_t looked = 0; looked < all.size(); ++looked, ++item) {
         if (item == all.end()) {
             item = all.begin();
         }
-        if (item->second.gone_since) {
-            this->last_gone_asked = item->first;
+        if (item->second.down_since) {
+            this->last_down_host_queried = item->first;
             return item->second.state.host;
         }
     }
@@ -280,19 +282,19 @@
     return due;
 }
 
-std::vector<known_host> host_table::choose_asked(time_point now)
+std::vector<known_host> host_table::select_hosts_to_query(time_point now)
 {
     this->forget_old(now);
-    this->look_for_missed(now);
-    this->choose_partners(now);
+    this->detect_unreachable_partners(now);
+    this->select_partners(now);
     std::vector<known_host> asked;
-    if (!this->asks_all()) {
-        if (const std::optional<known_host> gone = this->next_gone()) {
+    if (!this->is_full_mesh()) {
+        if (const std::optional<known_host> gone = this->next_down_host()) {
             asked.push_back(*gone);
         }
     }
     for (entry* item : this->list_due(now)) {
-        if (asked.size() >= this->settings.most_asked) {
+        if (asked.size() >= this->settings.max_queries_per_round) {
             break;
         }
         item->asked = now;
@@ -321,40 +323,40 @@
     return 1 + static_cast<std::size_t>(count);
 }
 
-const host_table::entry* host_table::find_judged(const host_id& id) const
+const host_table::entry* host_table::find_monitored(const host_id& id) const
 {
     const auto found = this->others.find(id);
     if (found == this->others.end()) {
         return nullptr;
     }
-    const bool is_judged = this->asks_all() || (found->second.is_partner && found->second.heard);
-    return is_judged ? &found->second : nullptr;
+    const bool is_monitored = this->is_full_mesh() || (found->second.is_partner && found->second.heard);
+    return is_monitored ? &found->second : nullptr;
 }
 
 bool host_table::is_present(const host_id& id, const member& known, time_point now) const
 {
-    const entry* item = this->find_judged(id);
+    const entry* item = this->find_monitored(id);
     if (item == nullptr) {
-        return !this->asks_all() && !known.gone_since && !known.state.is_leaving;
+        return !this->is_full_mesh() && !known.down_since && !known.state.is_leaving;
     }
-    if (!this->asks_all() && known.gone_since && *known.gone_since > *item->heard) {
+    if (!this->is_full_mesh() && known.down_since && *known.down_since > *item->heard) {
         return false;
     }
-    return this->is_live(*item, now) || this->awaits_turn(*item, now);
+    return this->is_live(*item, now) || this->is_waiting_for_turn(*item, now);
 }
 
 bool host_table::is_ranked(const host_id& id, const member& known, bool is_watched, time_point now) const
 {
-    if (!this->asks_all()) {
+    if (!this->is_full_mesh()) {
         return this->is_present(id, known, now);
     }
-    const entry* item = this->find_judged(id);
-    return item != nullptr && (is_watched ? this->is_live(*item, now) : this->is_heard_in_turn(*item, now));
+    const entry* item = this->find_monitored(id);
+    return item != nullptr && (is_watched ? this->is_live(*item, now) : this->is_live_by_turns(*item, now));
 }
 
 bool host_table::reads_store(const host_id& id, const member& known) const
 {
-    const entry* item = this->find_judged(id);
+    const entry* item = this->find_monitored(id);
     return item != nullptr ? item->reads_store : known.state.reads_store;
 }
 
@@ -387,14 +389,14 @@
     return known == this->members.others().end() ? nullptr : &known->second.state.host;
 }
 
-std::size_t host_table::heard_count(time_point now, duration within) const
+std::size_t host_table::recently_present_count(time_point now, duration within) const
 {
     const auto was_there = [this, now, within](const auto& item) {
-        if (this->asks_all()) {
+        if (this->is_full_mesh()) {
             const auto found = this->others.find(item.first);
             return found != this->others.end() && found->second.heard && now - *found->second.heard < within;
         }
-        return !item.second.gone_since || now - *item.second.gone_since < within;
+        return !item.second.down_since || now - *item.second.down_since < within;
     };
     const std::map<host_id, member>& all = this->members.others();
     return 1 + static_cast<std::size_t>(std::count_if(all.begin(), all.end(), was_there));
@@ -408,34 +410,34 @@
     return static_cast<std::size_t>(own - live.begin());
 }
 
-std::optional<std::size_t> host_table::rank_at_store(bool reads_store, std::size_t enough,
+std::optional<std::size_t> host_table::rank_among_store_readers(bool reads_store, std::size_t enough,
     const std::function<bool(const host_id&, const member&)>& is_there,
     const std::function<bool(const host_id&)>& is_before) const
 {
-    bool is_any_able = reads_store;
-    std::size_t able_before = 0;
+    bool does_any_read_store = reads_store;
+    std::size_t readers_before = 0;
     std::size_t before = 0;
     for (const auto& [id, known] : this->members.others()) {
         if (!is_there(id, known)) {
             continue;
         }
-        const bool is_able = this->reads_store(id, known);
-        is_any_able = is_any_able || is_able;
-        able_before += is_before(id) && is_able ? 1 : 0;
+        const bool is_store_reader = this->reads_store(id, known);
+        does_any_read_store = does_any_read_store || is_store_reader;
+        readers_before += is_before(id) && is_store_reader ? 1 : 0;
         before += is_before(id) ? 1 : 0;
-        if (able_before >= enough) {
+        if (readers_before >= enough) {
             break;
         }
     }
-    if (reads_store != is_any_able) {
+    if (reads_store != does_any_read_store) {
         return std::nullopt;
     }
-    return is_any_able ? able_before : before;
+    return does_any_read_store ? readers_before : before;
 }
 
 bool host_table::is_reader(bool reads_store, time_point now) const
 {
-    const std::optional<std::size_t> rank = this->rank_at_store(
+    const std::optional<std::size_t> rank = this->rank_among_store_readers(
         reads_store, this->settings.reader_count,
         [this, now](
             const host_id& id, const member& known) { return this->is_ranked(id, known, false, now); },
@@ -445,7 +447,7 @@
 
 bool host_table::is_duty_standby() const
 {
-    if (!this->asks_all()) {
+    if (!this->is_full_mesh()) {
         return false; // the others' word comes as soon
     }
     const auto before = std::count_if(
@@ -458,7 +460,7 @@
 bool host_table::is_duty_candidate(bool reads_store, time_point now) const
 {
     const bool is_standby = this->is_duty_standby();
-    const std::optional<std::size_t> rank = this->rank_at_store(
+    const std::optional<std::size_t> rank = this->rank_among_store_readers(
         reads_store, this->settings.duty_candidates,
         [this, now, is_standby](
             const host_id& id, const member& known) { return this->is_ranked(id, known, is_standby, now); },
@@ -471,14 +473,14 @@
     report.sender = this->own();
     report.incarnation = this->members.own().incarnation;
     report.hosts_digest = this->members.digest();
-    report.news = this->members.take_news(receiver);
+    report.news = this->members.next_updates(receiver);
 }
 
-bool host_table::awaits_turn(const entry& item, time_point now) const
+bool host_table::is_waiting_for_turn(const entry& item, time_point now) const
 {
     const bool is_unanswered =
-        item.heard && item.asked > *item.heard && now - item.asked >= this->settings.unanswered_limit;
-    return this->is_heard_in_turn(item, now) && !this->is_live(item, now) && !is_unanswered;
+        item.heard && item.asked > *item.heard && now - item.asked >= this->settings.answer_timeout;
+    return this->is_live_by_turns(item, now) && !this->is_live(item, now) && !is_unanswered;
 }
 
 std::map<upstream_id, upstream_work> host_table::sum_work(time_point now) const
@@ -491,7 +493,7 @@
     for (const auto& [id, known] : this->members.others()) {
         const auto found = this->others.find(id);
         const bool is_heard = found != this->others.end() && found->second.heard
-            && now - *found->second.heard < this->settings.silence_limit;
+            && now - *found->second.heard < this->settings.heartbeat_timeout;
         if (is_heard) {
             sum_of(found->second.host).add(found->second.work);
         } else if (this->is_present(id, known, now)) {
--- a/src/libs/fleet/limithome.cpp
+++ b/src/libs/fleet/limitallocator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <fleet/limithome.h>
+#include <fleet/limitallocator.h>
 
 #include <algorithm>
 
@@ -14,14 +14,14 @@
 
 } // namespace
 
-limit_grant limit_home::answer(
-    const limit_question& question, duration uptime, bool is_leaving, time_point now)
+limit_grant limit_allocator::answer(
+    const limit_query& question, duration uptime, bool is_leaving, time_point now)
 {
     this->limits.take(question.statement, now);
     limit_grant grant;
     grant.statement = this->limits.statement_of(question.statement.upstream, now);
-    if (is_leaving || this->leaves_to_elders(question, uptime, now)) {
-        grant.is_home = false;
+    if (is_leaving || this->defers_to_established_hosts(question, uptime, now)) {
+        grant.is_allocator = false;
         return grant;
     }
     if (!grant.statement.requests_per_second) {
@@ -34,51 +34,52 @@
         item.refilled = now;
     }
     this->refill(item, rate, now);
-    this->note_asker(item, question.holder, now);
+    this->note_querying_host(item, question.holder, now);
     // Each its part of what is there: what one host is granted and doesn't use is lost to the others.
-    const double part = std::max(1.0, item.requests / static_cast<double>(item.askers.size()));
+    const double part = std::max(1.0, item.requests / static_cast<double>(item.querying_hosts.size()));
     grant.granted = std::min(question.wanted, static_cast<unsigned>(std::min(part, item.requests)));
     item.requests -= grant.granted;
-    grant.wait = this->wait_of(item, rate);
+    grant.wait = this->wait_until_next_query(item, rate);
     return grant;
 }
 
-bool limit_home::leaves_to_elders(const limit_question& question, duration uptime, time_point now)
+bool limit_allocator::defers_to_established_hosts(
+    const limit_query& question, duration uptime, time_point now)
 {
     if (uptime >= this->settings.settle_time) {
         return false;
     }
     if (question.uptime > uptime + this->settings.start_spread) {
-        this->elder_asked = now;
+        this->established_host_asked = now;
     }
-    return this->elder_asked && now - *this->elder_asked < this->settings.elder_memory;
+    return this->established_host_asked && now - *this->established_host_asked < this->settings.deferral_time;
 }
 
-void limit_home::refill(bucket& item, double rate, time_point now) const
+void limit_allocator::refill(bucket& item, double rate, time_point now) const
 {
-    const double most = this->settings.least_burst + rate * seconds_of(this->settings.burst_time);
+    const double most = this->settings.min_burst + rate * seconds_of(this->settings.burst_time);
     item.requests = std::min(most, item.requests + rate * seconds_of(now - item.refilled));
     item.refilled = now;
 }
 
-void limit_home::note_asker(bucket& item, const host_id& asker, time_point now) const
+void limit_allocator::note_querying_host(bucket& item, const host_id& asker, time_point now) const
 {
-    std::erase_if(item.askers,
+    std::erase_if(item.querying_hosts,
         [this, now](const auto& known) { return now - known.second > 2 * this->settings.longest_wait; });
-    item.askers[asker] = now;
+    item.querying_hosts[asker] = now;
 }
 
-duration limit_home::wait_of(const bucket& item, double rate) const
+duration limit_allocator::wait_until_next_query(const bucket& item, double rate) const
 {
     const double seconds =
-        static_cast<double>(item.askers.size()) / (rate * this->settings.questions_per_request);
+        static_cast<double>(item.querying_hosts.size()) / (rate * this->settings.queries_per_request);
     const double longest = seconds_of(this->settings.longest_wait);
     const auto wait =
         std::chrono::duration_cast<duration>(std::chrono::duration<double>(std::min(seconds, longest)));
-    return std::max(wait, this->settings.shortest_wait);
+    return std::max(wait, this->settings.min_wait);
 }
 
-void limit_home::forget_idle(time_point now)
+void limit_allocator::forget_idle(time_point now)
 {
     std::erase_if(this->buckets, [this, now](const auto& item) {
         return now - item.second.refilled > 2 * this->settings.longest_wait;
--- a/src/libs/fleet/limitholder.cpp
+++ b/src/libs/fleet/limitclient.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <fleet/limitholder.h>
+#include <fleet/limitclient.h>
 #include <fleet/ownership.h>
 
 #include <algorithm>
@@ -12,22 +12,22 @@
 /// those that are granted by then.
 constexpr duration grant_time = std::chrono::milliseconds(500);
 /// A host that doesn't answer, or shares nothing out now, isn't asked for so long.
-constexpr duration pass_over_time = std::chrono::seconds(1);
+constexpr duration skip_time = std::chrono::seconds(1);
 /// Questions in a row without answer until then: each one that is passed over makes for two hosts that share
 /// out the same limit, and an answer may be lost.
-constexpr unsigned most_failures = 3;
+constexpr unsigned max_failures = 3;
 /// Questions one after another; then the upstream is left alone for a moment.
-constexpr unsigned most_questions = 5;
+constexpr unsigned max_queries = 5;
 constexpr duration unanswered_pause = std::chrono::milliseconds(250);
 /// A limit isn't used up for good while the next question is due so soon: a caller that is sent away comes
 /// back after a second.
-constexpr duration worth_waiting = std::chrono::milliseconds(100);
+constexpr duration short_wait_limit = std::chrono::milliseconds(100);
 /// In one question; a host sends no more than this in the time between two.
-constexpr unsigned most_wanted = 64;
+constexpr unsigned max_wanted = 64;
 
 } // namespace
 
-bool limit_holder::may_send(const upstream_id& id)
+bool limit_client::may_send(const upstream_id& id)
 {
     if (!this->limits.limit_of(id)) {
         return true;
@@ -38,7 +38,7 @@
         return true;
     }
     item.granted = 0;
-    item.wanted = std::min(item.wanted + 1, most_wanted);
+    item.wanted = std::min(item.wanted + 1, max_wanted);
     if (!item.is_asking && now >= item.ask_again) {
         item.questions = 0;
         this->ask(id, item);
@@ -46,7 +46,7 @@
     return item.granted > 0;
 }
 
-bool limit_holder::take(const upstream_id& id)
+bool limit_client::take(const upstream_id& id)
 {
     if (!this->may_send(id)) {
         return false;
@@ -58,7 +58,7 @@
     return true;
 }
 
-bool limit_holder::is_used_up(const upstream_id& id) const
+bool limit_client::is_exhausted(const upstream_id& id) const
 {
     const auto found = this->holdings.find(id);
     if (found == this->holdings.end()) {
@@ -67,25 +67,25 @@
     const holding& item = found->second;
     const time_point now = this->hooks.timers.now();
     const bool is_granted = item.granted > 0 && now < item.expires;
-    return !is_granted && !item.is_asking && item.ask_again > now + worth_waiting;
+    return !is_granted && !item.is_asking && item.ask_again > now + short_wait_limit;
 }
 
-std::optional<host_id> limit_holder::find_home(const upstream_id& id)
+std::optional<host_id> limit_client::find_allocator(const upstream_id& id)
 {
     const time_point now = this->hooks.timers.now();
-    std::erase_if(this->passed_over, [now](const auto& host) { return host.second <= now; });
+    std::erase_if(this->skipped_hosts, [now](const auto& host) { return host.second <= now; });
     std::vector<host_id> hosts = this->hooks.hosts();
     std::erase_if(this->failures, [&hosts](const auto& host) {
         return std::find(hosts.begin(), hosts.end(), host.first) == hosts.end();
     });
-    std::erase_if(hosts, [this](const host_id& host) { return this->passed_over.count(host) != 0; });
+    std::erase_if(hosts, [this](const host_id& host) { return this->skipped_hosts.count(host) != 0; });
     return find_owner(id.value(), hosts);
 }
 
-void limit_holder::ask(const upstream_id& id, holding& item)
+void limit_client::ask(const upstream_id& id, holding& item)
 {
-    const std::optional<host_id> home = this->find_home(id);
-    if (!home || item.questions >= most_questions) {
+    const std::optional<host_id> home = this->find_allocator(id);
+    if (!home || item.questions >= max_queries) {
         item.is_asking = false;
         item.ask_again = this->hooks.timers.now() + unanswered_pause;
         return;
@@ -93,22 +93,22 @@
     ++item.questions;
     item.is_asking = true;
     const time_point now = this->hooks.timers.now();
-    const limit_question question{
+    const limit_query question{
         this->self, this->uptime(now), this->limits.statement_of(id, now), item.wanted};
     this->hooks.ask(
         *home, question,
-        [this, id, home = *home, now](const limit_grant& grant) { this->take_grant(id, home, grant, now); },
-        [this, id, home = *home] { this->take_failure(id, home); });
+        [this, id, home = *home, now](const limit_grant& grant) { this->handle_grant(id, home, grant, now); },
+        [this, id, home = *home] { this->handle_query_failure(id, home); });
 }
 
-void limit_holder::take_grant(
+void limit_client::handle_grant(
     const upstream_id& id, const host_id& home, const limit_grant& grant, time_point asked)
 {
     const time_point now = this->hooks.timers.now();
     this->limits.take(grant.statement, now);
     this->failures.erase(home);
-    if (!grant.is_home) {
-        this->pass_over(home);
+    if (!grant.is_allocator) {
+        this->skip_host(home);
         this->ask_next(id);
         return;
     }
@@ -125,20 +125,20 @@
     item.ask_again = now + grant.wait;
 }
 
-void limit_holder::take_failure(const upstream_id& id, const host_id& home)
+void limit_client::handle_query_failure(const upstream_id& id, const host_id& home)
 {
-    if (++this->failures[home] >= most_failures) {
-        this->pass_over(home);
+    if (++this->failures[home] >= max_failures) {
+        this->skip_host(home);
     }
     this->ask_next(id);
 }
 
-void limit_holder::pass_over(const host_id& home)
+void limit_client::skip_host(const host_id& home)
 {
-    this->passed_over[home] = this->hooks.timers.now() + pass_over_time;
+    this->skipped_hosts[home] = this->hooks.timers.now() + skip_time;
 }
 
-void limit_holder::ask_next(const upstream_id& id)
+void limit_client::ask_next(const upstream_id& id)
 {
     const auto found = this->holdings.find(id);
     if (found != this->holdings.end()) {
@@ -146,7 +146,7 @@
     }
 }
 
-void limit_holder::note_answer(
+void limit_client::note_answer(
     const upstream_id& id, const std::optional<double>& requests_per_second, time_point sent)
 {
     const time_point now = this->hooks.timers.now();
@@ -156,7 +156,7 @@
     this->limits.take({id, requests_per_second, age}, now);
 }
 
-void limit_holder::tidy()
+void limit_client::tidy()
 {
     std::erase_if(this->holdings, [this](const auto& item) { return !this->limits.limit_of(item.first); });
 }
--- a/src/libs/fleet/limitmessages.cpp
+++ b/src/libs/fleet/limitmessages.cpp
@@ -21,16 +21,16 @@
     return statement;
 }
 
-std::string encode_limit_question(const limit_question& question)
+std::string encode_limit_query(const limit_query& question)
 {
     return to_cbor(json::array({question.holder.value(), question.uptime.count(),
         write_limit_statement(question.statement), question.wanted}));
 }
 
-limit_question decode_limit_question(const std::string& bytes)
+limit_query decode_limit_query(const std::string& bytes)
 {
     return decode_cbor("read limit question", bytes, [](const json& item) {
-        limit_question question;
+        limit_query question;
         question.holder = host_id(item.at(0).get<std::string>());
         question.uptime = duration(item.at(1).get<duration::rep>());
         question.statement = read_limit_statement(item.at(2));
@@ -42,14 +42,14 @@
 std::string encode_limit_grant(const limit_grant& grant)
 {
     return to_cbor(json::array(
-        {grant.is_home, grant.granted, grant.wait.count(), write_limit_statement(grant.statement)}));
+        {grant.is_allocator, grant.granted, grant.wait.count(), write_limit_statement(grant.statement)}));
 }
 
 limit_grant decode_limit_grant(const std::string& bytes)
 {
     return decode_cbor("read limit grant", bytes, [](const json& item) {
         limit_grant grant;
-        grant.is_home = item.at(0).get<bool>();
+        grant.is_allocator = item.at(0).get<bool>();
         grant.granted = item.at(1).get<unsigned>();
         grant.wait = duration(item.at(2).get<duration::rep>());
         grant.statement = read_limit_statement(item.at(3));
--- a/src/libs/fleet/limitmessages.h
+++ b/src/libs/fleet/limitmessages.h
@@ -9,10 +9,10 @@
 namespace sailtiller {
 
 /// The question by which a host asks for requests of an upstream's limit, as the method between hosts.
-constexpr const char* limit_question_method = "site-limit";
+constexpr const char* limit_query_method = "site-limit";
 
 /// What a host asks of the host that shares out an upstream's limit.
-struct limit_question
+struct limit_query
 {
     host_id holder;
     duration uptime{}; ///< of the holder
@@ -23,7 +23,7 @@
 /// The answer to it.
 struct limit_grant
 {
-    bool is_home = true; ///< false: this host shares nothing out now, another one has to be asked
+    bool is_allocator = true; ///< false: this host shares nothing out now, another one has to be asked
     unsigned granted = 0;
     duration wait{}; ///< until it is worth asking again
     limit_statement statement; ///< what this host knows of the limit
@@ -34,8 +34,8 @@
 limit_statement read_limit_statement(const json& item);
 
 /// All four are CBOR; the readers throw `error` if the bytes have not the shape.
-std::string encode_limit_question(const limit_question& question);
-limit_question decode_limit_question(const std::string& bytes);
+std::string encode_limit_query(const limit_query& question);
+limit_query decode_limit_query(const std::string& bytes);
 std::string encode_limit_grant(const limit_grant& grant);
 limit_grant decode_limit_grant(const std::string& bytes);
 
--- a/src/libs/fleet/membership.cpp
+++ b/src/libs/fleet/membership.cpp
@@ -11,7 +11,7 @@
 /// In a smaller fleet there may be nobody else to say that a host is gone.
 constexpr std::size_t hosts_for_two_words = 4;
 
-std::uint64_t digest_of(const host_news& state)
+std::uint64_t digest_of(const host_state& state)
 {
     const std::uint64_t flags = (state.is_leaving ? 2U : 0U) + (state.reads_store ? 1U : 0U);
     return stable_hash(state.host.id.value(), state.incarnation.value() * 4 + flags);
@@ -35,12 +35,12 @@
 void membership::tell(const host_id& id)
 {
     const auto queued = std::find_if(this->pending.begin(), this->pending.end(),
-        [&id](const pending_news& item) { return item.id == id; });
+        [&id](const pending_update& item) { return item.id == id; });
     if (queued != this->pending.end()) {
-        queued->tellings_left = this->settings.most_tellings;
+        queued->transmissions_left = this->settings.max_transmissions;
         return;
     }
-    this->pending.push_back({id, this->settings.most_tellings});
+    this->pending.push_back({id, this->settings.max_transmissions});
 }
 
 void membership::add(const known_host& host)
@@ -55,18 +55,18 @@
     }
 }
 
-std::size_t membership::words_needed() const
+std::size_t membership::confirmations_needed() const
 {
-    return this->members.size() + 1 >= hosts_for_two_words ? this->settings.words_needed : 1;
+    return this->members.size() + 1 >= hosts_for_two_words ? this->settings.confirmations_needed : 1;
 }
 
-bool membership::join_words(member& item, const std::vector<host_id>& missed_by) const
+bool membership::merge_unreachable_from(member& item, const std::vector<host_id>& unreachable_from) const
 {
     bool is_any_new = false;
-    std::vector<host_id>& known = item.state.missed_by;
-    for (const host_id& word : missed_by) {
+    std::vector<host_id>& known = item.state.unreachable_from;
+    for (const host_id& word : unreachable_from) {
         const bool is_new = std::find(known.begin(), known.end(), word) == known.end();
-        if (is_new && known.size() < this->settings.words_needed) {
+        if (is_new && known.size() < this->settings.confirmations_needed) {
             known.push_back(word);
             is_any_new = true;
         }
@@ -74,29 +74,29 @@
     return is_any_new;
 }
 
-void membership::judge(member& item, time_point now)
+void membership::update_liveness(member& item, time_point now)
 {
-    const bool is_gone = item.state.missed_by.size() >= this->words_needed();
-    if (is_gone == item.gone_since.has_value()) {
+    const bool is_gone = item.state.unreachable_from.size() >= this->confirmations_needed();
+    if (is_gone == item.down_since.has_value()) {
         return;
     }
-    item.gone_since = is_gone ? std::optional(now) : std::nullopt;
+    item.down_since = is_gone ? std::optional(now) : std::nullopt;
     this->note_change();
 }
 
-void membership::take(const host_news& news, telling use, time_point now)
+void membership::take(const host_state& news, propagation use, time_point now)
 {
     const host_id& id = news.host.id;
     if (id == this->own_state.host.id) {
         if (news.incarnation > this->own_state.incarnation
-            || (news.incarnation == this->own_state.incarnation && !news.missed_by.empty())) {
+            || (news.incarnation == this->own_state.incarnation && !news.unreachable_from.empty())) {
             this->refute(news.incarnation);
         }
         return;
     }
     const auto found = this->members.find(id);
     const bool is_new = found == this->members.end();
-    if (is_new && news.missed_by.size() >= this->words_needed()) {
+    if (is_new && news.unreachable_from.size() >= this->confirmations_needed()) {
         return; // it has been forgotten
     }
     member& item = is_new ? this->members[id] : found->second;
@@ -106,25 +106,25 @@
     if (is_new || news.incarnation > item.state.incarnation) {
         item.state = news;
         this->note_change();
-    } else if (!this->join_words(item, news.missed_by)) {
+    } else if (!this->merge_unreachable_from(item, news.unreachable_from)) {
         return;
     }
-    this->judge(item, now);
-    if (use == telling::passed_on) {
+    this->update_liveness(item, now);
+    if (use == propagation::forwarded) {
         this->tell(id);
     }
 }
 
-void membership::note_heard(const peer_report& report, time_point now)
+void membership::record_report(const peer_report& report, time_point now)
 {
-    host_news news;
+    host_state news;
     news.host = report.sender;
     news.incarnation = report.incarnation;
     news.is_leaving = report.is_leaving;
     const auto before = this->members.find(report.sender.id);
     // What it says of the store is told by its state alone, as few hosts tell that at all.
     news.reads_store = before == this->members.end() || before->second.state.reads_store;
-    this->take(news, telling::passed_on, now);
+    this->take(news, propagation::forwarded, now);
     const auto known = this->members.find(report.sender.id);
     if (known != this->members.end()) {
         known->second.state.host = report.sender;
@@ -132,14 +132,14 @@
     }
 }
 
-void membership::note_missed(const host_id& id, time_point now)
+void membership::note_unreachable(const host_id& id, time_point now)
 {
     const auto found = this->members.find(id);
     if (found == this->members.end()) {
         return;
     }
-    if (this->join_words(found->second, {this->own_state.host.id})) {
-        this->judge(found->second, now);
+    if (this->merge_unreachable_from(found->second, {this->own_state.host.id})) {
+        this->update_liveness(found->second, now);
         this->tell(id);
     }
 }
@@ -164,7 +164,7 @@
         if (id > this->own_state.host.id || before >= this->settings.reader_candidates) {
             break;
         }
-        before += item.gone_since || !item.state.reads_store ? 0 : 1;
+        before += item.down_since || !item.state.reads_store ? 0 : 1;
     }
     return before < this->settings.reader_candidates;
 }
@@ -188,27 +188,28 @@
     }
 }
 
-void membership::forget_gone(time_point now)
+void membership::remove_expired_down(time_point now)
 {
     std::erase_if(this->members, [this, now](const auto& item) {
-        return item.second.gone_since && now - *item.second.gone_since > this->settings.forget_after;
+        return item.second.down_since && now - *item.second.down_since > this->settings.forget_timeout;
     });
 }
 
-std::vector<host_news> membership::take_news(const host_id& receiver)
+std::vector<host_state> membership::next_updates(const host_id& receiver)
 {
-    std::vector<host_news> news;
+    std::vector<host_state> news;
     const auto known = this->members.find(receiver);
     if (known != this->members.end()) {
         // It has to hear what is believed of it, so that it can say otherwise.
         const member& item = known->second;
-        if (!item.state.missed_by.empty() || item.state.is_leaving || item.heard < item.state.incarnation) {
+        if (!item.state.unreachable_from.empty() || item.state.is_leaving
+            || item.heard < item.state.incarnation) {
             news.push_back(item.state);
         }
     }
-    for (std::size_t left = this->pending.size(); left > 0 && news.size() < this->settings.most_told;
+    for (std::size_t left = this->pending.size(); left > 0 && news.size() < this->settings.max_per_report;
          --left) {
-        pending_news next = this->pending.front();
+        pending_update next = this->pending.front();
         this->pending.pop_front();
         const auto found = this->members.find(next.id);
         const bool is_own = next.id == this->own_state.host.id;
@@ -218,16 +219,16 @@
         if (next.id != receiver) {
             news.push_back(is_own ? this->own_state : found->second.state);
         }
-        if (--next.tellings_left > 0) {
+        if (--next.transmissions_left > 0) {
             this->pending.push_back(next);
         }
     }
     return news;
 }
 
-std::vector<host_news> membership::list_all() const
+std::vector<host_state> membership::list_all() const
 {
-    std::vector<host_news> all = {this->own_state};
+    std::vector<host_state> all = {this->own_state};
     all.reserve(this->members.size() + 1);
     for (const auto& [id, item] : this->members) {
         all.push_back(item.state);
@@ -240,7 +241,7 @@
     if (!this->known_digest) {
         std::uint64_t sum = digest_of(this->own_state);
         for (const auto& [id, item] : this->members) {
-            sum ^= item.gone_since ? 0 : digest_of(item.state);
+            sum ^= item.down_since ? 0 : digest_of(item.state);
         }
         this->known_digest = sum;
     }
--- a/src/libs/fleet/partstore.cpp
+++ b/src/libs/fleet/partstore.cpp
@@ -4,8 +4,8 @@
 
 namespace sailtiller {
 
-part_store::part_store(std::size_t most_spare_bytes)
-    : most_spare_bytes(most_spare_bytes)
+part_store::part_store(std::size_t max_unpinned_bytes)
+    : max_unpinned_bytes(max_unpinned_bytes)
 {
 }
 
@@ -15,10 +15,10 @@
     if (!this->bodies.emplace(digest, body).second) {
         return;
     }
-    this->all_bytes += body.size();
-    this->kept_bytes += this->kept.contains(digest) ? body.size() : 0;
+    this->total_bytes += body.size();
+    this->pinned_bytes += this->kept.contains(digest) ? body.size() : 0;
     this->order.push_back(digest);
-    this->drop_oldest_spares();
+    this->evict_oldest_unpinned();
 }
 
 const std::string* part_store::find(const part_digest& digest) const
@@ -30,19 +30,19 @@
 void part_store::keep(const std::vector<part_digest>& digests)
 {
     this->kept = std::set<part_digest>(digests.begin(), digests.end());
-    this->kept_bytes = 0;
+    this->pinned_bytes = 0;
     for (const part_digest& digest : this->kept) {
         const std::string* body = this->find(digest);
-        this->kept_bytes += body == nullptr ? 0 : body->size();
+        this->pinned_bytes += body == nullptr ? 0 : body->size();
     }
-    this->drop_oldest_spares();
+    this->evict_oldest_unpinned();
 }
 
-void part_store::drop_oldest_spares()
+void part_store::evict_oldest_unpinned()
 {
     std::size_t examined = 0;
-    const std::size_t most_examined = this->order.size();
-    while (this->all_bytes - this->kept_bytes > this->most_spare_bytes && examined < most_examined) {
+    const std::size_t max_examined = this->order.size();
+    while (this->total_bytes - this->pinned_bytes > this->max_unpinned_bytes && examined < max_examined) {
         const part_digest oldest = this->order.front();
         this->order.pop_front();
         ++examined;
@@ -51,7 +51,7 @@
             continue;
         }
         const auto found = this->bodies.find(oldest);
-        this->all_bytes -= found->second.size();
+        this->total_bytes -= found->second.size();
         this->bodies.erase(found);
     }
 }
--- a/src/libs/fleet/partstore.h
+++ b/src/libs/fleet/partstore.h
@@ -14,7 +14,7 @@
 class part_store
 {
 public:
-    explicit part_store(std::size_t most_spare_bytes);
+    explicit part_store(std::size_t max_unpinned_bytes);
 
     void add(const std::string& body);
     /// Null if the part isn't held.
@@ -22,15 +22,15 @@
     /// Keeps these parts whatever the bound, also those that arrive later; those kept before become spare.
     void keep(const std::vector<part_digest>& digests);
     [[nodiscard]] std::size_t size() const { return this->bodies.size(); }
-    [[nodiscard]] std::size_t bytes() const { return this->all_bytes; }
+    [[nodiscard]] std::size_t bytes() const { return this->total_bytes; }
     [[nodiscard]] part_lookup lookup() const;
 
 private:
-    void drop_oldest_spares();
+    void evict_oldest_unpinned();
 
-    std::size_t most_spare_bytes;
-    std::size_t all_bytes = 0;
-    std::size_t kept_bytes = 0;
+    std::size_t max_unpinned_bytes;
+    std::size_t total_bytes = 0;
+    std::size_t pinned_bytes = 0;
     std::unordered_map<part_digest, std::string> bodies;
     std::set<part_digest> kept;
     std::deque<part_digest> order;
--- a/src/libs/fleet/peerreport.cpp
+++ b/src/libs/fleet/peerreport.cpp
@@ -50,7 +50,7 @@
 json write_signs(const peer_report& report)
 {
     json list = json::array();
-    for (const upstream_sign& item : report.signs) {
+    for (const upstream_probe_result& item : report.signs) {
         list.push_back(json::array({item.id.value(), item.pace, item.age.count()}));
     }
     return list;
@@ -59,7 +59,7 @@
 json write_holdings(const peer_report& report)
 {
     json list = json::array();
-    for (const engine_holding& item : report.holdings) {
+    for (const reported_layers& item : report.holdings) {
         list.push_back(json::array({item.id.value(), item.begin, item.end, item.age.count()}));
     }
     return list;
@@ -83,27 +83,27 @@
     return list;
 }
 
-json write_news(const std::vector<host_news>& news)
+json write_news(const std::vector<host_state>& news)
 {
     json list = json::array();
-    for (const host_news& item : news) {
+    for (const host_state& item : news) {
         list.push_back(json::array({write_host(item.host), item.incarnation.value(), item.is_leaving,
-            item.reads_store, write_ids(item.missed_by)}));
+            item.reads_store, write_ids(item.unreachable_from)}));
     }
     return list;
 }
 
-std::vector<host_news> read_news(const json& list)
+std::vector<host_state> read_news(const json& list)
 {
-    std::vector<host_news> news;
+    std::vector<host_state> news;
     for (const json& item : list) {
-        host_news state;
+        host_state state;
         state.host = read_host(item.at(0));
         state.incarnation = incarnation_number(item.at(1).get<std::uint64_t>());
         state.is_leaving = item.at(2).get<bool>();
         state.reads_store = item.at(3).get<bool>();
         for (const json& id : item.at(4)) {
-            state.missed_by.emplace_back(id.get<std::string>());
+            state.unreachable_from.emplace_back(id.get<std::string>());
         }
         news.push_back(std::move(state));
     }
@@ -192,12 +192,12 @@
 
 } // namespace
 
-std::string encode_host_news(const std::vector<host_news>& news)
+std::string encode_host_news(const std::vector<host_state>& news)
 {
     return to_cbor(write_news(news));
 }
 
-std::vector<host_news> decode_host_news(const std::string& bytes)
+std::vector<host_state> decode_host_news(const std::string& bytes)
 {
     return decode_cbor("read states of hosts", bytes, [](const json& item) { return read_news(item); });
 }
--- a/src/libs/fleet/peerreport.h
+++ b/src/libs/fleet/peerreport.h
@@ -26,13 +26,13 @@
 using incarnation_number = strong_type<struct incarnation_number_tag, std::uint64_t>;
 
 /// The state of a host, as hosts pass it on to each other.
-struct host_news
+struct host_state
 {
     known_host host;
     incarnation_number incarnation{1};
     bool is_leaving = false;
     bool reads_store = true; ///< told only by the hosts that may be among those that read it for all
-    std::vector<host_id> missed_by; ///< some of the hosts that it left without an answer in this state
+    std::vector<host_id> unreachable_from; ///< some of the hosts that it left without an answer in this state
 };
 
 /// What one host's requests hold at an upstream.
@@ -51,7 +51,7 @@
 };
 
 /// An upstream that answered a host's probe.
-struct upstream_sign
+struct upstream_probe_result
 {
     upstream_id id;
     double pace = 1; ///< how many times slower than it should it runs
@@ -59,7 +59,7 @@
 };
 
 /// Layers that an engine holds by its own word, while its entry can't be read.
-struct engine_holding
+struct reported_layers
 {
     upstream_id id;
     unsigned begin = 0;
@@ -94,20 +94,20 @@
     std::vector<upstream_work> work;
     std::vector<upstream_suspicion> suspicions;
     std::vector<upstream_suspicion> unwilling; ///< upstreams that refused the sender though they had room
-    std::vector<upstream_sign> signs; ///< of upstreams that were dead or are slow; only the latest
-    std::vector<engine_holding> holdings; ///< that differ from the entries; only while the store is away
+    std::vector<upstream_probe_result> signs; ///< of upstreams that were dead or are slow; only the latest
+    std::vector<reported_layers> holdings; ///< that differ from the entries; only while the store is away
     std::vector<upstream_id> leaving_upstreams; ///< that said so in their answers, not by their entries
     incarnation_number incarnation{1}; ///< of the sender's state
     std::uint64_t hosts_digest = 0; ///< of the hosts that the sender believes in; 0: it doesn't say
-    std::vector<host_news> news; ///< of hosts whose state has changed lately
+    std::vector<host_state> news; ///< of hosts whose state has changed lately
     std::vector<crash_record> crashes; ///< requests under which upstreams have ended
     std::vector<limit_statement> limits; ///< that upstreams name, or named lately
 };
 
 /// Writes the states of hosts as CBOR.
-std::string encode_host_news(const std::vector<host_news>& news);
+std::string encode_host_news(const std::vector<host_state>& news);
 /// Throws `error` if the bytes are malformed.
-std::vector<host_news> decode_host_news(const std::string& bytes);
+std::vector<host_state> decode_host_news(const std::string& bytes);
 
 /// Writes a report as CBOR.
 std::string encode_peer_report(const peer_report& report);
--- a/src/libs/fleet/carrierduty.cpp
+++ b/src/libs/fleet/renewalschedule.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <fleet/carrierduty.h>
 #include <fleet/ownership.h>
+#include <fleet/renewalschedule.h>
 
 #include <algorithm>
 
@@ -10,38 +10,38 @@
 
 /// A record is carried forward when this share of its retention has passed, which leaves two thirds for an
 /// outage of the log and for carriers that are gone.
-constexpr std::int64_t carry_divisor = 3;
+constexpr std::int64_t renewal_divisor = 3;
 
 } // namespace
 
-carrier_duty::carrier_duty(carrier_settings settings, host_id self)
+renewal_schedule::renewal_schedule(renewal_settings settings, host_id self)
     : settings(settings)
     , self(std::move(self))
 {
 }
 
-void carrier_duty::note_seen(const std::string& record, time_point now)
+void renewal_schedule::note_seen(const std::string& record, time_point now)
 {
     this->last_seen[record] = now;
 }
 
-void carrier_duty::note_needed(const std::string& record, time_point now)
+void renewal_schedule::note_needed(const std::string& record, time_point now)
 {
     // Its age is unknown, so it is taken as due: the ranks' waiting keeps the others from appending it too.
-    this->last_seen.try_emplace(record, now - this->settings.retention / carry_divisor);
+    this->last_seen.try_emplace(record, now - this->settings.retention / renewal_divisor);
 }
 
-void carrier_duty::forget(const std::string& record)
+void renewal_schedule::forget(const std::string& record)
 {
     this->last_seen.erase(record);
 }
 
-std::vector<std::string> carrier_duty::due(
+std::vector<std::string> renewal_schedule::due(
     time_point now, const std::vector<host_id>& live_hosts, std::size_t most) const
 {
     std::vector<std::string> records;
     for (const auto& [record, seen] : this->last_seen) {
-        const duration overdue = now - seen - this->settings.retention / carry_divisor;
+        const duration overdue = now - seen - this->settings.retention / renewal_divisor;
         if (overdue < duration::zero()) {
             continue;
         }
--- a/src/libs/fleet/carrierduty.h
+++ b/src/libs/fleet/renewalschedule.h
@@ -11,7 +11,7 @@
 namespace sailtiller {
 
 /// How long the log keeps records, and how the hosts share the work of carrying them forward.
-struct carrier_settings
+struct renewal_settings
 {
     duration retention = std::chrono::hours(24); ///< the platform's; a record is gone after this time
     duration stagger = std::chrono::seconds(20); ///< a host waits this much longer for each rank before it
@@ -23,10 +23,10 @@
 /// first-ranked host (rendezvous hashing over the live hosts) carries it forward; each later rank waits one
 /// stagger more and stands down when it sees the record again. So few appends are made however many hosts
 /// there are, and none is lost when the first ranks are gone or paused.
-class carrier_duty
+class renewal_schedule
 {
 public:
-    carrier_duty(carrier_settings settings, host_id self);
+    renewal_schedule(renewal_settings settings, host_id self);
 
     /// The record stands in the log, newly appended or appended again.
     void note_seen(const std::string& record, time_point now);
@@ -40,7 +40,7 @@
     [[nodiscard]] std::size_t size() const { return this->last_seen.size(); }
 
 private:
-    carrier_settings settings;
+    renewal_settings settings;
     host_id self;
     std::map<std::string, time_point> last_seen;
 };
--- a/src/libs/fleet/sharehome.cpp
+++ b/src/libs/fleet/shareallocator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
 
 #include <algorithm>
 
@@ -12,15 +12,15 @@
 
 } // namespace
 
-share_home::share_home(limits_lookup limits_of)
+share_allocator::share_allocator(limits_lookup limits_of)
     : limits_of(std::move(limits_of))
 {
 }
 
-std::vector<share_grant> share_home::answer(const share_question& question, time_point now)
+std::vector<share_grant> share_allocator::answer(const share_query& question, time_point now)
 {
     std::vector<share_grant> grants;
-    for (const share_wish& wish : question.wishes) {
+    for (const share_demand& wish : question.demands) {
         const account_limits* limits = this->limits_of(wish.account);
         if (limits == nullptr) {
             grants.push_back({wish.account, wish.streams_in_use, 0});
@@ -34,8 +34,8 @@
     return grants;
 }
 
-std::uint32_t share_home::grant_streams(account_state& state, const account_limits& limits,
-    const host_id& holder, const share_wish& wish, time_point now)
+std::uint32_t share_allocator::grant_streams(account_state& state, const account_limits& limits,
+    const host_id& holder, const share_demand& wish, time_point now)
 {
     std::erase_if(state.leases, [now](const auto& entry) { return entry.second.expires <= now; });
     std::uint32_t held_by_others = 0;
@@ -54,7 +54,7 @@
     return granted;
 }
 
-std::uint32_t share_home::grant_requests(
+std::uint32_t share_allocator::grant_requests(
     account_state& state, const account_limits& limits, std::uint32_t wanted, time_point now)
 {
     if (limits.requests_per_second <= 0) {
@@ -71,7 +71,7 @@
     return granted;
 }
 
-std::uint32_t share_home::granted_streams(const client_account_id& account, time_point now) const
+std::uint32_t share_allocator::granted_streams(const client_account_id& account, time_point now) const
 {
     const auto found = this->accounts.find(account);
     std::uint32_t sum = 0;
@@ -83,7 +83,7 @@
     return sum;
 }
 
-void share_home::drop_unused(time_point now)
+void share_allocator::drop_unused(time_point now)
 {
     for (auto item = this->accounts.begin(); item != this->accounts.end();) {
         account_state& state = item->second;
--- a/src/libs/fleet/sharehome.h
+++ b/src/libs/fleet/shareallocator.h
@@ -20,15 +20,15 @@
 /// The streams granted to all hosts never exceed the limit, except for streams in use when the limit was
 /// lowered or this host has just become the home: these are counted and never taken back. Requests a second
 /// come from one bucket.
-class share_home
+class share_allocator
 {
 public:
     /// `limits_of` gives an account's limits by the bundle in force; null if there is no such account.
     using limits_lookup = std::function<const account_limits*(const client_account_id&)>;
 
-    explicit share_home(limits_lookup limits_of);
+    explicit share_allocator(limits_lookup limits_of);
 
-    std::vector<share_grant> answer(const share_question& question, time_point now);
+    std::vector<share_grant> answer(const share_query& question, time_point now);
     [[nodiscard]] std::size_t account_count() const { return this->accounts.size(); }
     /// Streams granted and not expired, over all hosts.
     [[nodiscard]] std::uint32_t granted_streams(const client_account_id& account, time_point now) const;
@@ -51,7 +51,7 @@
     };
 
     static std::uint32_t grant_streams(account_state& state, const account_limits& limits,
-        const host_id& holder, const share_wish& wish, time_point now);
+        const host_id& holder, const share_demand& wish, time_point now);
     static std::uint32_t grant_requests(
         account_state& state, const account_limits& limits, std::uint32_t wanted, time_point now);
 
--- a/src/libs/fleet/shareholder.cpp
+++ b/src/libs/fleet/shareclient.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <fleet/ownership.h>
-#include <fleet/shareholder.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
+#include <fleet/shareclient.h>
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 /// Shares in use are renewed at half of their lease, so that one lost renewal costs nothing.
 constexpr duration renew_interval = share_lease / 2;
 /// Requests that may wait for one home; more are refused at once.
-constexpr std::size_t most_waiting = 256;
+constexpr std::size_t max_waiting = 256;
 /// When streams are at their limit one ends soon; a caller may ask again after this.
 constexpr duration streams_retry = std::chrono::seconds(1);
 
@@ -31,13 +31,13 @@
 
 } // namespace
 
-share_holder::share_holder(host_id self, share_hooks hooks)
+share_client::share_client(host_id self, share_hooks hooks)
     : self(std::move(self))
     , hooks(std::move(hooks))
 {
 }
 
-void share_holder::start()
+void share_client::start()
 {
     this->hooks.timers.schedule_after(renew_interval, [this] {
         this->renew();
@@ -45,7 +45,7 @@
     });
 }
 
-void share_holder::let_in(account_share& share)
+void share_client::admit_next(account_share& share)
 {
     const decision_handler handler = std::move(share.waiting.front());
     share.waiting.pop_front();
@@ -53,14 +53,14 @@
     handler(std::nullopt);
 }
 
-void share_holder::refuse(account_share& share, const share_refusal& refusal)
+void share_client::refuse(account_share& share, const share_refusal& refusal)
 {
     const decision_handler handler = std::move(share.waiting.front());
     share.waiting.pop_front();
     handler(refusal);
 }
 
-void share_holder::admit(const client_account& account, decision_handler on_decision)
+void share_client::admit(const client_account& account, decision_handler on_decision)
 {
     account_share& share = this->accounts[account.name];
     share.limits = account.limits;
@@ -71,53 +71,52 @@
         on_decision(std::nullopt);
         return;
     }
-    if (share.waiting.size() >= most_waiting) {
+    if (share.waiting.size() >= max_waiting) {
         on_decision(share_refusal{"too_many_requests", streams_retry});
         return;
     }
     share.waiting.push_back(std::move(on_decision));
-    if (!share.is_asked) {
+    if (!share.is_query_pending) {
         this->ask(account.name, share);
     }
 }
 
-void share_holder::ask(const client_account_id& name, account_share& share)
+void share_client::ask(const client_account_id& name, account_share& share)
 {
     const std::optional<host_id> home = find_owner(name.value(), this->hooks.live_hosts());
     share.home = home.value_or(this->self);
-    share.is_asked = true;
-    share.asked_for = share.waiting.size();
-    const auto waiting = static_cast<std::uint32_t>(share.asked_for);
-    const share_question question{
-        this->self, {{name, share.in_use, waiting + headroom(share.in_use), waiting}}};
+    share.is_query_pending = true;
+    share.queried_count = share.waiting.size();
+    const auto waiting = static_cast<std::uint32_t>(share.queried_count);
+    const share_query question{this->self, {{name, share.in_use, waiting + headroom(share.in_use), waiting}}};
     // The lease counts from the asking, so that it ends here before it ends at the home.
     const time_point asked_at = this->hooks.timers.now();
-    this->hooks.ask_home(
+    this->hooks.query_allocator(
         share.home, question,
         [this, name, asked_at](const std::vector<share_grant>& grants) {
             if (grants.size() == 1 && grants.front().account == name) {
-                this->take_grant(name, grants.front(), asked_at);
+                this->handle_grant(name, grants.front(), asked_at);
             } else {
-                this->decide_alone(name);
+                this->decide_locally(name);
             }
         },
-        [this, name] { this->decide_alone(name); });
+        [this, name] { this->decide_locally(name); });
 }
 
-void share_holder::take_grant(const client_account_id& name, const share_grant& grant, time_point asked_at)
+void share_client::handle_grant(const client_account_id& name, const share_grant& grant, time_point asked_at)
 {
     account_share& share = this->accounts[name];
-    share.is_asked = false;
+    share.is_query_pending = false;
     share.granted = grant.streams;
     share.expires = asked_at + share_lease;
     const bool has_stream_limit = share.limits.streams != 0;
     std::uint32_t requests = grant.requests;
     // Requests that came while the home was asked wait for the next question.
-    std::size_t answered = share.asked_for;
+    std::size_t answered = share.queried_count;
     while (answered > 0 && requests > 0 && (!has_stream_limit || share.in_use < share.granted)) {
         --requests;
         --answered;
-        this->let_in(share);
+        this->admit_next(share);
     }
     const bool is_full = has_stream_limit && share.in_use >= share.granted;
     while (answered > 0) {
@@ -130,34 +129,34 @@
     }
 }
 
-void share_holder::decide_alone(const client_account_id& name)
+void share_client::decide_locally(const client_account_id& name)
 {
     account_share& share = this->accounts[name];
-    share.is_asked = false;
+    share.is_query_pending = false;
     const time_point now = this->hooks.timers.now();
     const auto hosts = static_cast<double>(std::max<std::size_t>(1, this->hooks.live_hosts().size()));
     const auto streams = static_cast<std::uint32_t>(std::max(1.0, share.limits.streams / hosts));
     const auto rate =
         static_cast<std::uint32_t>(std::max(1.0, std::ceil(share.limits.requests_per_second / hosts)));
-    if (now - share.alone_since >= std::chrono::seconds(1)) {
-        share.alone_since = now;
-        share.alone_requests = 0;
+    if (now - share.local_window_start >= std::chrono::seconds(1)) {
+        share.local_window_start = now;
+        share.local_requests = 0;
     }
     while (!share.waiting.empty()) {
         const bool is_full = share.limits.streams != 0 && share.in_use >= std::max(streams, share.granted);
-        const bool is_fast = share.limits.requests_per_second > 0 && share.alone_requests >= rate;
+        const bool is_fast = share.limits.requests_per_second > 0 && share.local_requests >= rate;
         if (is_full || is_fast) {
             refuse(share,
                 is_full ? share_refusal{"too_many_streams", streams_retry} : rate_refusal(share.limits));
             continue;
         }
-        ++share.alone_requests;
+        ++share.local_requests;
         ++this->alone;
-        this->let_in(share);
+        this->admit_next(share);
     }
 }
 
-void share_holder::finish(const client_account_id& account)
+void share_client::finish(const client_account_id& account)
 {
     const auto found = this->accounts.find(account);
     if (found != this->accounts.end() && found->second.in_use > 0) {
@@ -165,32 +164,32 @@
     }
 }
 
-void share_holder::renew()
+void share_client::renew()
 {
     const time_point now = this->hooks.timers.now();
     std::erase_if(this->accounts, [now](const auto& entry) {
         const account_share& share = entry.second;
-        return share.in_use == 0 && share.waiting.empty() && !share.is_asked && share.expires <= now;
+        return share.in_use == 0 && share.waiting.empty() && !share.is_query_pending && share.expires <= now;
     });
     for (auto& [name, share] : this->accounts) {
-        if (share.limits.streams != 0 && share.in_use > 0 && !share.is_asked) {
+        if (share.limits.streams != 0 && share.in_use > 0 && !share.is_query_pending) {
             this->ask(name, share);
         }
     }
 }
 
-void share_holder::note_hosts_changed()
+void share_client::note_hosts_changed()
 {
     const std::vector<host_id> hosts = this->hooks.live_hosts();
     for (auto& [name, share] : this->accounts) {
         const bool is_moved = find_owner(name.value(), hosts) != share.home;
-        if (is_moved && share.limits.streams != 0 && share.in_use > 0 && !share.is_asked) {
+        if (is_moved && share.limits.streams != 0 && share.in_use > 0 && !share.is_query_pending) {
             this->ask(name, share);
         }
     }
 }
 
-std::uint32_t share_holder::streams_in_use(const client_account_id& account) const
+std::uint32_t share_client::streams_in_use(const client_account_id& account) const
 {
     const auto found = this->accounts.find(account);
     return found == this->accounts.end() ? 0 : found->second.in_use;
--- a/src/libs/fleet/shareholder.h
+++ b/src/libs/fleet/shareclient.h
@@ -25,21 +25,21 @@
     /// The hosts that are live by the platform's list, this one included.
     std::function<std::vector<host_id>()> live_hosts;
     /// Asks a home, which may be this host itself; exactly one callback runs, after the hook has returned.
-    std::function<void(const host_id& home, const share_question& question,
+    std::function<void(const host_id& home, const share_query& question,
         std::function<void(const std::vector<share_grant>&)> on_grants, std::function<void()> on_failure)>
-        ask_home;
+        query_allocator;
 };
 
 /// A host's shares of the accounts' limits. A request is let in against a share that is at hand, or waits for
 /// the account's home to answer. If the home can't be asked, a small share of the limit is used without it:
 /// the limit divided by the live hosts, at least one, so the fleet exceeds a limit by a bounded number.
-class share_holder
+class share_client
 {
 public:
     /// Empty: the request is let in, and `finish` must be called when it ends.
     using decision_handler = std::function<void(const std::optional<share_refusal>&)>;
 
-    share_holder(host_id self, share_hooks hooks);
+    share_client(host_id self, share_hooks hooks);
 
     void start();
     /// Decides at once, or after the home has answered.
@@ -51,7 +51,7 @@
     [[nodiscard]] std::uint32_t streams_in_use(const client_account_id& account) const;
     [[nodiscard]] std::size_t account_count() const { return this->accounts.size(); }
     /// Requests let in without their home's word.
-    [[nodiscard]] std::uint64_t admitted_alone() const { return this->alone; }
+    [[nodiscard]] std::uint64_t admitted_locally() const { return this->alone; }
 
 private:
     struct account_share
@@ -61,18 +61,18 @@
         std::uint32_t granted = 0;
         time_point expires{};
         std::deque<decision_handler> waiting;
-        bool is_asked = false;
-        std::size_t asked_for = 0; ///< of those waiting, the first so many stand in the question
+        bool is_query_pending = false;
+        std::size_t queried_count = 0; ///< of those waiting, the first so many stand in the question
         host_id home;
-        std::uint32_t alone_requests = 0; ///< let in without the home since `alone_since`
-        time_point alone_since{};
+        std::uint32_t local_requests = 0; ///< let in without the home since `local_window_start`
+        time_point local_window_start{};
     };
 
     void ask(const client_account_id& name, account_share& share);
-    void take_grant(const client_account_id& name, const share_grant& grant, time_point asked_at);
-    void decide_alone(const client_account_id& name);
+    void handle_grant(const client_account_id& name, const share_grant& grant, time_point asked_at);
+    void decide_locally(const client_account_id& name);
     void renew();
-    void let_in(account_share& share);
+    void admit_next(account_share& share);
     static void refuse(account_share& share, const share_refusal& refusal);
 
     host_id self;
--- a/src/libs/fleet/sharemessages.cpp
+++ b/src/libs/fleet/sharemessages.cpp
@@ -4,23 +4,23 @@
 
 namespace sailtiller {
 
-std::string encode_share_question(const share_question& question)
+std::string encode_share_query(const share_query& question)
 {
-    json wishes = json::array();
-    for (const share_wish& wish : question.wishes) {
-        wishes.push_back(json::array(
+    json demands = json::array();
+    for (const share_demand& wish : question.demands) {
+        demands.push_back(json::array(
             {wish.account.value(), wish.streams_in_use, wish.streams_wanted, wish.requests_wanted}));
     }
-    return to_cbor(json::array({question.holder.value(), wishes}));
+    return to_cbor(json::array({question.holder.value(), demands}));
 }
 
-share_question decode_share_question(const std::string& bytes)
+share_query decode_share_query(const std::string& bytes)
 {
     return decode_cbor("read share question", bytes, [](const json& item) {
-        share_question question;
+        share_query question;
         question.holder = host_id(item.at(0).get<std::string>());
         for (const json& wish : item.at(1)) {
-            question.wishes.push_back(
+            question.demands.push_back(
                 {client_account_id(wish.at(0).get<std::string>()), wish.at(1).get<std::uint32_t>(),
                     wish.at(2).get<std::uint32_t>(), wish.at(3).get<std::uint32_t>()});
         }
--- a/src/libs/fleet/upstreamlimits.cpp
+++ b/src/libs/fleet/upstreamlimits.cpp
@@ -29,7 +29,7 @@
         return;
     }
     // An age beyond all that is remembered would only overflow.
-    const time_point stated = now - std::min(statement.age, this->settings.ended_memory);
+    const time_point stated = now - std::min(statement.age, this->settings.ended_retention);
     record& item = is_new ? this->records[statement.upstream] : found->second;
     if (!is_new && stated < item.stated) {
         return;
@@ -47,14 +47,14 @@
     }
 }
 
-std::vector<limit_statement> upstream_limits::list_news(time_point now) const
+std::vector<limit_statement> upstream_limits::list_updates(time_point now) const
 {
     std::vector<const std::pair<const upstream_id, record>*> latest;
     latest.reserve(this->records.size());
     for (const auto& item : this->records) {
         latest.push_back(&item);
     }
-    keep_latest(latest, this->settings.most_told, [](const auto& item) { return item.second.changed; });
+    keep_latest(latest, this->settings.max_per_report, [](const auto& item) { return item.second.changed; });
     std::vector<limit_statement> news;
     news.reserve(latest.size());
     for (const auto* item : latest) {
@@ -67,7 +67,8 @@
 {
     for (auto item = this->records.begin(); item != this->records.end();) {
         const record& known = item->second;
-        const bool is_over = !known.requests_per_second && now - known.stated > this->settings.ended_memory;
+        const bool is_over =
+            !known.requests_per_second && now - known.stated > this->settings.ended_retention;
         if (!is_over && is_known(item->first)) {
             ++item;
             continue;
--- a/src/libs/fleet/upstreamlimits.h
+++ b/src/libs/fleet/upstreamlimits.h
@@ -26,9 +26,9 @@
     std::size_t most_records = 4096;
     /// That an upstream names no limit any more is remembered for so long, as it outweighs what others have
     /// yet to hear.
-    duration ended_memory = std::chrono::seconds(60);
+    duration ended_retention = std::chrono::seconds(60);
     /// Statements in one report, the latest changes; 1.5 kB.
-    std::size_t most_told = 32;
+    std::size_t max_per_report = 32;
 };
 
 /// The limits that upstreams name, as far as this host knows by itself and from the others. Of two statements
@@ -56,7 +56,7 @@
     /// An answer of the upstream, or another host, said this.
     void take(const limit_statement& statement, time_point now);
     /// What the next report tells.
-    [[nodiscard]] std::vector<limit_statement> list_news(time_point now) const;
+    [[nodiscard]] std::vector<limit_statement> list_updates(time_point now) const;
     /// Forgets upstreams that are gone, and limits that ended long ago.
     void forget(const std::function<bool(const upstream_id&)>& is_known, time_point now);
 
--- a/src/libs/site/siteknowledge.cpp
+++ b/src/libs/site/siteknowledge.cpp
@@ -426,7 +426,7 @@
         this->renew_confirmation(asked - *answer.bundle_age, {answer.sender.id});
     }
     this->take_entries(answer, asked);
-    for (const engine_holding& holding : answer.holdings) {
+    for (const reported_layers& holding : answer.holdings) {
         this->note_held(holding.id, {holding.begin, holding.end}, asked - holding.age);
     }
 }
--- a/src/libs/site/trialclaims.cpp
+++ b/src/libs/site/trialclaims.cpp
@@ -75,7 +75,7 @@
     this->hooks.read_newest(
         [this, content, reads_left, on_answer](const newest_page& page) {
             this->take_records(page.records);
-            if (this->suspects.judge(content, this->hooks.timers.now()).judgement != send_judgement::trial) {
+            if (this->suspects.assess(content, this->hooks.timers.now()).decision != send_decision::trial) {
                 this->withhold(content, "another host has just tried it", on_answer);
                 return;
             }
@@ -112,7 +112,7 @@
 {
     this->suspects.note_trials(content, record, this->hooks.timers.now());
     this->hooks.on_event(event_type::trial_given, content,
-        std::to_string(record.trials) + " of " + std::to_string(most_trials));
+        std::to_string(record.trials) + " of " + std::to_string(max_trials));
     on_answer(true);
 }
 
--- a/tests/auto/delivery/deliverybed.cpp
+++ b/tests/auto/delivery/deliverybed.cpp
@@ -63,15 +63,15 @@
     this->bundle->pools.push_back({service_id("llm"), "", 0, make_sample_profile()});
     this->bundle->pools.push_back({service_id("plain"), "", 0, std::nullopt});
     this->bundle->build_index();
-    limit_holder_hooks limit_hooks;
+    limit_client_hooks limit_hooks;
     limit_hooks.timers = hooks.timers;
     limit_hooks.hosts = [] { return std::vector{host_id("h")}; };
-    limit_hooks.ask = [this](const host_id&, const limit_question& question,
+    limit_hooks.ask = [this](const host_id&, const limit_query& question,
                           const std::function<void(const limit_grant&)>& on_grant,
                           const std::function<void()>&) {
         on_grant({true, std::min(this->grant, question.wanted), std::chrono::seconds(1), question.statement});
     };
-    this->holder = std::make_unique<limit_holder>(host_id("h"), this->limits, limit_hooks);
+    this->holder = std::make_unique<limit_client>(host_id("h"), this->limits, limit_hooks);
     this->context = std::make_unique<delivery_context>(this->make_context());
 }
 
--- a/tests/auto/delivery/deliverybed.h
+++ b/tests/auto/delivery/deliverybed.h
@@ -69,7 +69,7 @@
     upstream_limits limits;
     upstream_pauses pauses;
     std::vector<std::string> leaving; ///< upstreams that said so, in order
-    std::unique_ptr<limit_holder> holder;
+    std::unique_ptr<limit_client> holder;
     /// What this host is granted of each limit at each question.
     unsigned grant = 0;
     /// Trials that were asked for, with the way to answer.
--- a/tests/auto/delivery/tst_suspectguard.cpp
+++ b/tests/auto/delivery/tst_suspectguard.cpp
@@ -45,7 +45,7 @@
 
     [[nodiscard]] request_content content() { return this->make_order(route_kind::stream).content(); }
 
-    send_judgement judge() { return this->suspects.judge(this->content(), this->now).judgement; }
+    send_decision judge() { return this->suspects.assess(this->content(), this->now).decision; }
 
     /// Two tries under which four engines end.
     void end_engines()
@@ -124,7 +124,7 @@
     end(this->last_send());
     EXPECT_TRUE(this->caller.is_finished);
     EXPECT_EQ(this->caller.body, events(0, 3));
-    EXPECT_EQ(this->judge(), send_judgement::free);
+    EXPECT_EQ(this->judge(), send_decision::free);
     this->start_stream();
     EXPECT_EQ(this->sends.size(), 5U);
     EXPECT_TRUE(this->claims.empty());
@@ -152,7 +152,7 @@
         end(this->last_send(), call_ending::broken);
         this->pass(5s);
     }
-    EXPECT_EQ(this->judge(), send_judgement::free);
+    EXPECT_EQ(this->judge(), send_decision::free);
 }
 
 TEST_F(suspect_guard_test, engines_that_end_at_once_under_one_send_are_one_end)
@@ -167,7 +167,7 @@
         stream->leave_upstreams({upstream_id(name)});
     }
     EXPECT_FALSE(this->suspects.is_empty());
-    EXPECT_EQ(this->judge(), send_judgement::free);
+    EXPECT_EQ(this->judge(), send_decision::free);
     stream->abandon();
 }
 
@@ -197,7 +197,7 @@
     this->last_send().handlers.on_body("body");
     end(this->last_send());
     EXPECT_EQ(this->caller.answer->status, 200);
-    EXPECT_EQ(this->judge(), send_judgement::free);
+    EXPECT_EQ(this->judge(), send_decision::free);
 }
 
 } // namespace
--- a/tests/auto/entry/tst_entryservice.cpp
+++ b/tests/auto/entry/tst_entryservice.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <entry/entryservice.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
 #include <standins/enginestandin.h>
 #include <standins/servicestandin.h>
 #include <support/looprunner.h>
@@ -78,7 +78,8 @@
         share_hooks hooks;
         hooks.timers = this->loop.hooks();
         hooks.live_hosts = [] { return std::vector<host_id>{host_id("host")}; };
-        hooks.ask_home = [this](const host_id&, const share_question& question, auto on_grants, const auto&) {
+        hooks.query_allocator = [this](const host_id&, const share_query& question, auto on_grants,
+                                    const auto&) {
             this->loop.post(
                 [this, question, on_grants] { on_grants(this->home.answer(question, this->loop.now())); });
         };
@@ -133,11 +134,11 @@
     load_table loads;
     host_metrics metrics;
     decision_log decisions{100};
-    share_home home{[this](const client_account_id& account) -> const account_limits* {
+    share_allocator home{[this](const client_account_id& account) -> const account_limits* {
         const client_account* found = this->entry.current_state()->accounts().find_by_name(account);
         return found == nullptr ? nullptr : &found->limits;
     }};
-    share_holder shares{host_id("host"), this->make_share_hooks()};
+    share_client shares{host_id("host"), this->make_share_hooks()};
     retry_budget retries{0.2};
     engine_client engine_calls{this->client};
     service_client service_calls{this->client};
--- a/tests/auto/fleet/tst_bundlefollower.cpp
+++ b/tests/auto/fleet/tst_bundlefollower.cpp
@@ -29,8 +29,8 @@
         settings.self = host_id(name);
         settings.trust = trust;
         settings.carrier = {90s, 2s};
-        settings.carry_interval = 1s;
-        settings.most_spare_bytes = 100'000;
+        settings.renewal_interval = 1s;
+        settings.max_unpinned_bytes = 100'000;
         return settings;
     }
 
@@ -201,7 +201,7 @@
     test_host& fresh = this->add_host("b");
     fresh.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            fresh.follower.take_peer_state(*state);
+            fresh.follower.handle_peer_state(*state);
         }
     };
     fresh.follower.start();
@@ -219,7 +219,7 @@
     test_host& fresh = this->add_host("b");
     fresh.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            fresh.follower.take_peer_state(decode_bundle_state(encode_bundle_state(*state)));
+            fresh.follower.handle_peer_state(decode_bundle_state(encode_bundle_state(*state)));
         }
     };
     this->log.lowest_read = end;
@@ -279,7 +279,7 @@
     this->log.expire(0);
     late.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            late.follower.take_peer_state(*state);
+            late.follower.handle_peer_state(*state);
         }
     };
     late.follower.start();
--- a/tests/auto/fleet/tst_crashsuspects.cpp
+++ b/tests/auto/fleet/tst_crashsuspects.cpp
@@ -28,13 +28,13 @@
         }
     }
 
-    send_judgement judge(crash_suspects& host) { return host.judge(this->content, this->now).judgement; }
+    send_decision judge(crash_suspects& host) { return host.assess(this->content, this->now).decision; }
 
     /// Both tell each other what they know.
     void exchange(crash_suspects& left, crash_suspects& right) const
     {
-        right.take_news(left.list_news(this->now), this->now);
-        left.take_news(right.list_news(this->now), this->now);
+        right.handle_updates(left.list_updates(this->now), this->now);
+        left.handle_updates(right.list_updates(this->now), this->now);
     }
 
     time_point now{std::chrono::seconds(100)};
@@ -47,10 +47,10 @@
     EXPECT_TRUE(host.is_empty());
     this->crash(host, 1, 2);
     this->crash(host, 1, 2); // the same two, told again
-    EXPECT_EQ(this->judge(host), send_judgement::free);
+    EXPECT_EQ(this->judge(host), send_decision::free);
     this->crash(host, 3, 1);
-    EXPECT_EQ(this->judge(host), send_judgement::trial);
-    EXPECT_EQ(host.judge(request_content("other"), this->now).judgement, send_judgement::free);
+    EXPECT_EQ(this->judge(host), send_decision::trial);
+    EXPECT_EQ(host.assess(request_content("other"), this->now).decision, send_decision::free);
     EXPECT_EQ(host.suspect_count(), 1U);
 }
 
@@ -66,7 +66,7 @@
     this->exchange(second, first);
     this->exchange(first, third);
     for (crash_suspects* host : {&first, &second, &third}) {
-        EXPECT_EQ(this->judge(*host), send_judgement::trial);
+        EXPECT_EQ(this->judge(*host), send_decision::trial);
     }
 }
 
@@ -75,20 +75,20 @@
     crash_suspects host;
     this->crash(host, 1, 3);
     host.note_trials(this->content, {1, 0}, this->now);
-    const judged_request soon = host.judge(this->content, this->now);
-    EXPECT_EQ(soon.judgement, send_judgement::later);
+    const send_assessment soon = host.assess(this->content, this->now);
+    EXPECT_EQ(soon.decision, send_decision::later);
     EXPECT_EQ(soon.wait, duration(5s));
     this->now += 5s;
-    EXPECT_EQ(this->judge(host), send_judgement::trial);
+    EXPECT_EQ(this->judge(host), send_decision::trial);
     host.note_trials(this->content, {2, 0}, this->now);
     this->now += 29s;
-    EXPECT_EQ(this->judge(host), send_judgement::later);
+    EXPECT_EQ(this->judge(host), send_decision::later);
     this->now += 1s;
-    EXPECT_EQ(this->judge(host), send_judgement::trial);
+    EXPECT_EQ(this->judge(host), send_decision::trial);
     host.note_trials(this->content, {3, 0}, this->now);
     this->now += 5min;
-    const judged_request last = host.judge(this->content, this->now);
-    EXPECT_EQ(last.judgement, send_judgement::never);
+    const send_assessment last = host.assess(this->content, this->now);
+    EXPECT_EQ(last.decision, send_decision::never);
     EXPECT_EQ(last.wait, duration(10min)) << "it is worth coming back once it is forgotten";
 }
 
@@ -99,13 +99,13 @@
     this->crash(first, 1, 3);
     this->exchange(first, second);
     first.note_trials(this->content, {1, 0}, this->now);
-    first.note_sound(this->content, this->now);
-    EXPECT_EQ(this->judge(first), send_judgement::free);
+    first.note_completed(this->content, this->now);
+    EXPECT_EQ(this->judge(first), send_decision::free);
     this->exchange(second, first); // what the other has yet to hear doesn't come back
-    EXPECT_EQ(this->judge(first), send_judgement::free);
-    EXPECT_EQ(this->judge(second), send_judgement::free);
+    EXPECT_EQ(this->judge(first), send_decision::free);
+    EXPECT_EQ(this->judge(second), send_decision::free);
     this->crash(second, 4, 3);
-    EXPECT_EQ(this->judge(second), send_judgement::trial) << "what ends from now on counts anew";
+    EXPECT_EQ(this->judge(second), send_decision::trial) << "what ends from now on counts anew";
 }
 
 TEST_F(crash_suspects_test, a_host_that_was_away_when_a_request_was_cleared_hears_of_it)
@@ -114,19 +114,19 @@
     crash_suspects second;
     this->crash(first, 1, 3);
     this->exchange(first, second);
-    first.note_sound(this->content, this->now);
+    first.note_completed(this->content, this->now);
     this->now += 2min;
     first.forget_old(this->now);
     this->exchange(second, first);
     this->exchange(first, second);
-    EXPECT_EQ(this->judge(first), send_judgement::free);
-    EXPECT_EQ(this->judge(second), send_judgement::free);
+    EXPECT_EQ(this->judge(first), send_decision::free);
+    EXPECT_EQ(this->judge(second), send_decision::free);
 }
 
 TEST_F(crash_suspects_test, a_success_of_a_request_that_nothing_is_known_of_leaves_no_trace)
 {
     crash_suspects host;
-    host.note_sound(this->content, this->now);
+    host.note_completed(this->content, this->now);
     EXPECT_TRUE(host.is_empty());
 }
 
@@ -142,7 +142,7 @@
     for (int minute = 0; minute < 30; ++minute) {
         this->now += 1min;
         host.forget_old(this->now);
-        EXPECT_NE(this->judge(host), send_judgement::free);
+        EXPECT_NE(this->judge(host), send_decision::free);
     }
     this->now += 10min + 1s;
     EXPECT_EQ(host.forget_old(this->now), std::vector<request_content>{this->content});
@@ -159,8 +159,8 @@
         host.note_crash(request_content(std::to_string(number)), engine(1), this->now);
     }
     EXPECT_EQ(host.record_count(), settings.most_records);
-    EXPECT_EQ(this->judge(host), send_judgement::trial);
-    EXPECT_EQ(host.list_news(this->now).size(), settings.most_told);
+    EXPECT_EQ(this->judge(host), send_decision::trial);
+    EXPECT_EQ(host.list_updates(this->now).size(), settings.max_per_report);
 }
 
 TEST_F(crash_suspects_test, reports_carry_the_records_and_those_of_older_releases_none)
@@ -171,7 +171,7 @@
     host.note_crash(this->content, engine(7), this->now);
     this->now += 20ms;
     peer_report report;
-    report.crashes = host.list_news(this->now);
+    report.crashes = host.list_updates(this->now);
     const peer_report read = decode_peer_report(encode_peer_report(report));
     ASSERT_EQ(read.crashes.size(), 1U);
     const crash_record& record = read.crashes.front();
@@ -197,7 +197,7 @@
         hosts[random() % host_count].note_crash(this->content, engine(number), this->now);
     }
     const time_point start = this->now;
-    const auto knows = [this](crash_suspects& host) { return this->judge(host) == send_judgement::trial; };
+    const auto knows = [this](crash_suspects& host) { return this->judge(host) == send_decision::trial; };
     while (!std::all_of(hosts.begin(), hosts.end(), knows)) {
         this->now += round;
         for (crash_suspects& host : hosts) {
--- a/tests/auto/fleet/tst_hosttable.cpp
+++ b/tests/auto/fleet/tst_hosttable.cpp
@@ -41,7 +41,7 @@
 {
     this->table.add(make_host("a"), this->now);
     EXPECT_EQ(this->table.live_count(this->now), 1U) << "a record alone proves nothing";
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
     EXPECT_EQ(this->table.live_count(this->now + 1499ms), 2U);
     EXPECT_EQ(this->table.live_count(this->now + 1500ms), 1U);
 }
@@ -51,7 +51,7 @@
     peer_report report = make_report(make_host("a"));
     report.is_leaving = true;
     report.work.push_back({upstream_id("u"), 50, 2});
-    this->table.note_heard(report, this->now);
+    this->table.record_report(report, this->now);
     EXPECT_EQ(this->table.live_count(this->now), 1U);
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).requests, 2U);
 }
@@ -59,8 +59,8 @@
 TEST_F(host_table_test, ranks_follow_the_ids_of_the_live_hosts)
 {
     EXPECT_EQ(this->table.own_rank(this->now), 0U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    this->table.note_heard(make_report(make_host("c")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("c")), this->now);
     EXPECT_EQ(this->table.own_rank(this->now), 1U);
     EXPECT_EQ(this->table.own_rank(this->now + 2s), 0U);
 }
@@ -69,19 +69,19 @@
 {
     peer_report cut_off = make_report(make_host("a"));
     cut_off.reads_store = false;
-    this->table.note_heard(cut_off, this->now);
-    this->table.note_heard(make_report(make_host("a2")), this->now);
-    this->table.note_heard(make_report(make_host("c")), this->now);
+    this->table.record_report(cut_off, this->now);
+    this->table.record_report(make_report(make_host("a2")), this->now);
+    this->table.record_report(make_report(make_host("c")), this->now);
     EXPECT_TRUE(this->table.is_reader(true, this->now)) << "the second of those that are answered";
     EXPECT_FALSE(this->table.is_reader(false, this->now));
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
     EXPECT_FALSE(this->table.is_reader(true, this->now)) << "two others come first";
 }
 
 TEST_F(host_table_test, a_reader_of_a_small_fleet_is_missed_soon)
 {
-    this->table.note_heard(make_report(make_host("a1")), this->now);
-    this->table.note_heard(make_report(make_host("a2")), this->now);
+    this->table.record_report(make_report(make_host("a1")), this->now);
+    this->table.record_report(make_report(make_host("a2")), this->now);
     EXPECT_FALSE(this->table.is_reader(true, this->now + 1499ms));
     EXPECT_TRUE(this->table.is_reader(true, this->now + 1500ms));
 }
@@ -91,7 +91,7 @@
     for (const char* name : {"a", "c"}) {
         peer_report report = make_report(make_host(name));
         report.reads_store = false;
-        this->table.note_heard(report, this->now);
+        this->table.record_report(report, this->now);
     }
     EXPECT_TRUE(this->table.is_reader(false, this->now));
     EXPECT_TRUE(this->table.is_reader(true, this->now));
@@ -102,7 +102,7 @@
     for (const char* name : {"a", "c"}) {
         peer_report report = make_report(make_host(name));
         report.work.push_back({upstream_id("u"), 100, 3});
-        this->table.note_heard(report, this->now);
+        this->table.record_report(report, this->now);
     }
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).requests, 6U);
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).token_layers, 200);
@@ -113,52 +113,52 @@
 {
     this->table.add(make_host("a"), this->now);
     this->table.add(make_host("c"), this->now);
-    EXPECT_EQ(this->table.unheard_count(this->now), 2U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    EXPECT_EQ(this->table.unheard_count(this->now), 1U);
-    EXPECT_EQ(this->table.unheard_count(this->now + 1500ms), 0U);
+    EXPECT_EQ(this->table.pending_host_count(this->now), 2U);
+    this->table.record_report(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.pending_host_count(this->now), 1U);
+    EXPECT_EQ(this->table.pending_host_count(this->now + 1500ms), 0U);
 }
 
 TEST_F(host_table_test, a_new_host_asks_all_live_ones_at_each_round)
 {
     this->table.note_start(this->now);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now).size(), 1U);
-    EXPECT_EQ(this->table.choose_asked(this->now + 100ms).size(), 1U);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now + 2s);
+    this->table.record_report(make_report(make_host("far", "y")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now).size(), 1U);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 100ms).size(), 1U);
+    this->table.record_report(make_report(make_host("far", "y")), this->now + 2s);
     EXPECT_FALSE(this->table.is_new(this->now + 2s));
-    EXPECT_EQ(this->table.choose_asked(this->now + 2s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 2250ms).empty());
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 2s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 2250ms).empty());
 }
 
 TEST_F(host_table_test, its_own_hall_is_asked_in_each_round_and_others_less_often)
 {
-    this->table.note_heard(make_report(make_host("near")), this->now);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now).size(), 2U);
-    const std::vector<known_host> next = this->table.choose_asked(this->now + 250ms);
+    this->table.record_report(make_report(make_host("near")), this->now);
+    this->table.record_report(make_report(make_host("far", "y")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now).size(), 2U);
+    const std::vector<known_host> next = this->table.select_hosts_to_query(this->now + 250ms);
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(next[0].id.value(), "near");
-    EXPECT_EQ(this->table.choose_asked(this->now + 500ms).size(), 2U);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 500ms).size(), 2U);
 }
 
 TEST_F(host_table_test, a_gone_host_is_asked_now_and_then_and_forgotten_at_last)
 {
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now + 2s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 3s).empty());
-    EXPECT_EQ(this->table.choose_asked(this->now + 4s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 61s).empty());
+    this->table.record_report(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 2s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 3s).empty());
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 4s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 61s).empty());
 }
 
 TEST_F(host_table_test, no_round_asks_more_than_the_bound)
 {
     for (int number = 0; number < 30; ++number) {
-        this->table.note_heard(make_report(make_host("h" + std::to_string(number))), this->now);
+        this->table.record_report(make_report(make_host("h" + std::to_string(number))), this->now);
     }
     std::set<host_id> asked;
     for (int round = 0; round < 4; ++round) {
-        const std::vector<known_host> chosen = this->table.choose_asked(this->now + round * 250ms);
+        const std::vector<known_host> chosen = this->table.select_hosts_to_query(this->now + round * 250ms);
         EXPECT_EQ(chosen.size(), 8U);
         for (const known_host& host : chosen) {
             asked.insert(host.id);
@@ -169,21 +169,21 @@
 
 TEST_F(host_table_test, hosts_that_fell_silent_lately_are_counted_among_those_heard_within_a_time)
 {
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 1U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 1U);
+    this->table.record_report(make_report(make_host("a")), this->now);
     peer_report leaving = make_report(make_host("c"));
     leaving.is_leaving = true;
-    this->table.note_heard(leaving, this->now);
+    this->table.record_report(leaving, this->now);
     this->now += 5s;
     EXPECT_EQ(this->table.live_count(this->now), 1U);
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 3U);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 3U);
     this->now += 5s;
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 1U);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 1U);
 }
 
 TEST_F(host_table_test, its_own_word_goes_before_what_others_tell)
 {
-    this->table.note_heard(make_report(make_host("a", "new")), this->now);
+    this->table.record_report(make_report(make_host("a", "new")), this->now);
     this->table.add(make_host("a", "old"), this->now);
     EXPECT_EQ(this->table.live_hosts(this->now)[0].data_hall.value(), "new");
 }
@@ -245,7 +245,7 @@
     EXPECT_EQ(read.news[0].incarnation, report.news[0].incarnation);
     EXPECT_TRUE(read.news[0].is_leaving);
     EXPECT_FALSE(read.news[0].reads_store);
-    EXPECT_EQ(read.news[0].missed_by, report.news[0].missed_by);
+    EXPECT_EQ(read.news[0].unreachable_from, report.news[0].unreachable_from);
 }
 
 TEST(peer_report, a_host_of_an_older_release_finds_all_that_it_requires)
@@ -303,11 +303,11 @@
             return;
         }
         host_table& own = this->tables.at(asker.id);
-        this->tables.at(asked.id).note_heard(this->report_of(asker, asked.id), this->now);
+        this->tables.at(asked.id).record_report(this->report_of(asker, asked.id), this->now);
         const peer_report answer = this->report_of(asked, asker.id);
-        own.note_heard(answer, this->now);
+        own.record_report(answer, this->now);
         if (own.should_ask_for_all(answer, this->now)) {
-            own.take_all(this->tables.at(asked.id).list_states(), this->now);
+            own.merge_states(this->tables.at(asked.id).list_states(), this->now);
         }
     }
 
@@ -317,7 +317,7 @@
             if (this->dead.count(asker.id) != 0) {
                 continue;
             }
-            for (const known_host& asked : this->tables.at(asker.id).choose_asked(this->now)) {
+            for (const known_host& asked : this->tables.at(asker.id).select_hosts_to_query(this->now)) {
                 this->exchange(asker, asked);
             }
         }
@@ -460,7 +460,7 @@
 TEST_P(large_fleet_test, all_hosts_count_among_those_that_share_allowances)
 {
     for (const known_host& host : this->fleet.hosts) {
-        EXPECT_EQ(this->fleet.tables.at(host.id).heard_count(this->fleet.now, 10s), GetParam());
+        EXPECT_EQ(this->fleet.tables.at(host.id).recently_present_count(this->fleet.now, 10s), GetParam());
     }
 }
 
@@ -469,7 +469,7 @@
 {
     this->fleet.run_for(4s);
     for (const auto& [id, asked] : this->fleet.partners) {
-        EXPECT_LE(asked.size(), host_table_settings().most_partners) << id;
+        EXPECT_LE(asked.size(), host_table_settings().max_partners) << id;
     }
 }
 
--- a/tests/auto/fleet/tst_limits.cpp
+++ b/tests/auto/fleet/tst_limits.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <base/error.h>
-#include <fleet/limitholder.h>
-#include <fleet/limithome.h>
+#include <fleet/limitallocator.h>
+#include <fleet/limitclient.h>
 
 #include <gtest/gtest.h>
 
@@ -31,7 +31,7 @@
     duration uptime = 1h;
     bool is_leaving = false;
     upstream_limits limits;
-    limit_home home{this->limits};
+    limit_allocator home{this->limits};
 };
 
 TEST_F(limit_home_test, begins_with_nothing_and_grants_what_the_limit_allows)
@@ -82,7 +82,7 @@
 TEST_F(limit_home_test, the_younger_word_on_a_limit_goes_both_ways)
 {
     this->now += 1s;
-    const limit_question ended{host_id("a"), 1h, {limited, std::nullopt, duration::zero()}, 1};
+    const limit_query ended{host_id("a"), 1h, {limited, std::nullopt, duration::zero()}, 1};
     const limit_grant grant = this->home.answer(ended, this->uptime, false, this->now);
     EXPECT_EQ(grant.granted, 0U);
     EXPECT_EQ(this->limits.limit_of(limited), std::nullopt);
@@ -93,18 +93,18 @@
 TEST_F(limit_home_test, a_host_that_leaves_or_has_just_started_leaves_limits_to_others)
 {
     this->is_leaving = true;
-    EXPECT_FALSE(this->ask("a", 1).is_home);
+    EXPECT_FALSE(this->ask("a", 1).is_allocator);
     this->is_leaving = false;
     this->uptime = 3s;
-    EXPECT_TRUE(this->ask("self", 1, 3s).is_home) << "it knows of no other host that shares it out";
-    EXPECT_FALSE(this->ask("a", 1).is_home);
-    EXPECT_FALSE(this->ask("self", 1, 3s).is_home);
+    EXPECT_TRUE(this->ask("self", 1, 3s).is_allocator) << "it knows of no other host that shares it out";
+    EXPECT_FALSE(this->ask("a", 1).is_allocator);
+    EXPECT_FALSE(this->ask("self", 1, 3s).is_allocator);
     this->now += 3s;
     this->uptime = 6s;
-    EXPECT_TRUE(this->ask("self", 1, 6s).is_home) << "the other asks no more";
-    EXPECT_TRUE(this->ask("b", 1, 6500ms).is_home) << "all have started at the same time";
+    EXPECT_TRUE(this->ask("self", 1, 6s).is_allocator) << "the other asks no more";
+    EXPECT_TRUE(this->ask("b", 1, 6500ms).is_allocator) << "all have started at the same time";
     this->uptime = 10s;
-    EXPECT_TRUE(this->ask("a", 1).is_home);
+    EXPECT_TRUE(this->ask("a", 1).is_allocator);
 }
 
 TEST_F(limit_home_test, forgets_what_nobody_asks_for)
@@ -124,21 +124,21 @@
     struct asked
     {
         host_id home;
-        limit_question question;
+        limit_query question;
         std::function<void(const limit_grant&)> on_grant;
         std::function<void()> on_failure;
     };
 
     limit_holder_test()
     {
-        limit_holder_hooks hooks;
+        limit_client_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.hosts = [this] { return this->hosts; };
-        hooks.ask = [this](const host_id& home, const limit_question& question,
+        hooks.ask = [this](const host_id& home, const limit_query& question,
                         std::function<void(const limit_grant&)> on_grant, std::function<void()> on_failure) {
             this->questions.push_back({home, question, std::move(on_grant), std::move(on_failure)});
         };
-        this->holder = std::make_unique<limit_holder>(host_id("self"), this->limits, hooks);
+        this->holder = std::make_unique<limit_client>(host_id("self"), this->limits, hooks);
         this->name(5);
     }
 
@@ -157,7 +157,7 @@
     upstream_limits limits;
     std::vector<host_id> hosts{host_id("a"), host_id("b"), host_id("c")};
     std::vector<asked> questions;
-    std::unique_ptr<limit_holder> holder;
+    std::unique_ptr<limit_client> holder;
 };
 
 TEST_F(limit_holder_test, an_upstream_without_a_limit_takes_all)
@@ -171,15 +171,15 @@
     EXPECT_FALSE(this->take());
     EXPECT_FALSE(this->take());
     ASSERT_EQ(this->questions.size(), 1U) << "one question at a time";
-    EXPECT_FALSE(this->holder->is_used_up(limited)) << "the answer is worth waiting for";
+    EXPECT_FALSE(this->holder->is_exhausted(limited)) << "the answer is worth waiting for";
     this->grant(2);
     EXPECT_TRUE(this->take());
     EXPECT_TRUE(this->take());
     EXPECT_FALSE(this->take());
-    EXPECT_TRUE(this->holder->is_used_up(limited));
+    EXPECT_TRUE(this->holder->is_exhausted(limited));
     EXPECT_EQ(this->questions.size(), 1U);
     this->now += 950ms;
-    EXPECT_FALSE(this->holder->is_used_up(limited)) << "it is asked for soon";
+    EXPECT_FALSE(this->holder->is_exhausted(limited)) << "it is asked for soon";
     this->now += 50ms;
     EXPECT_FALSE(this->take());
     ASSERT_EQ(this->questions.size(), 2U);
@@ -237,7 +237,7 @@
     }
     EXPECT_EQ(this->questions.size(), 5U);
     EXPECT_FALSE(this->take());
-    EXPECT_TRUE(this->holder->is_used_up(limited));
+    EXPECT_TRUE(this->holder->is_exhausted(limited));
     this->now += 250ms;
     EXPECT_FALSE(this->take());
     EXPECT_GT(this->questions.size(), 5U);
@@ -256,8 +256,8 @@
 
 TEST(limit_messages, read_what_was_written_and_refuse_what_was_not)
 {
-    const limit_question question{host_id("a"), 3s, {limited, 4.5, 20ms}, 7};
-    const limit_question read = decode_limit_question(encode_limit_question(question));
+    const limit_query question{host_id("a"), 3s, {limited, 4.5, 20ms}, 7};
+    const limit_query read = decode_limit_query(encode_limit_query(question));
     EXPECT_EQ(read.holder, question.holder);
     EXPECT_EQ(read.uptime, question.uptime);
     EXPECT_EQ(read.statement.upstream, limited);
@@ -266,13 +266,13 @@
     EXPECT_EQ(read.wanted, 7U);
     const limit_grant grant{false, 3, 50ms, {limited, std::nullopt, duration::max()}};
     const limit_grant read_grant = decode_limit_grant(encode_limit_grant(grant));
-    EXPECT_FALSE(read_grant.is_home);
+    EXPECT_FALSE(read_grant.is_allocator);
     EXPECT_EQ(read_grant.granted, 3U);
     EXPECT_EQ(read_grant.wait, duration(50ms));
     EXPECT_EQ(read_grant.statement.requests_per_second, std::nullopt);
     EXPECT_EQ(read_grant.statement.age, duration::max());
-    EXPECT_THROW(decode_limit_question("nonsense"), error);
-    EXPECT_THROW(decode_limit_grant(encode_limit_question(question)), error);
+    EXPECT_THROW(decode_limit_query("nonsense"), error);
+    EXPECT_THROW(decode_limit_grant(encode_limit_query(question)), error);
 }
 
 } // namespace
--- a/tests/auto/fleet/tst_limitsharing.cpp
+++ b/tests/auto/fleet/tst_limitsharing.cpp
@@ -5,8 +5,8 @@
 // Whatever happens, the upstream gets in any four seconds no more than one and a half times what its limit
 // allows, and five, from hosts that know of it, by its own word or another
 // host's; and it gets most of what it names while callers want more.
-#include <fleet/limitholder.h>
-#include <fleet/limithome.h>
+#include <fleet/limitallocator.h>
+#include <fleet/limitclient.h>
 
 #include <base/random.h>
 #include <support/limitbound.h>
@@ -94,8 +94,8 @@
         time_point frozen_until{};
         time_point excused_until{};
         upstream_limits limits;
-        std::unique_ptr<limit_home> home;
-        std::unique_ptr<limit_holder> holder;
+        std::unique_ptr<limit_allocator> home;
+        std::unique_ptr<limit_client> holder;
         std::set<host_id> known;
     };
 
@@ -123,16 +123,16 @@
     void start(host& item)
     {
         item.limits = upstream_limits();
-        item.home = std::make_unique<limit_home>(item.limits);
-        limit_holder_hooks hooks;
+        item.home = std::make_unique<limit_allocator>(item.limits);
+        limit_client_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.hosts = [&item] { return std::vector<host_id>(item.known.begin(), item.known.end()); };
-        hooks.ask = [this, &item](const host_id& home, const limit_question& question,
+        hooks.ask = [this, &item](const host_id& home, const limit_query& question,
                         const std::function<void(const limit_grant&)>& on_grant,
                         const std::function<void()>& on_failure) {
             this->ask(item, home, question, on_grant, on_failure);
         };
-        item.holder = std::make_unique<limit_holder>(item.id, item.limits, hooks);
+        item.holder = std::make_unique<limit_client>(item.id, item.limits, hooks);
         item.holder->note_start(this->now);
     }
 
@@ -143,7 +143,7 @@
         return found == this->hosts.end() ? nullptr : found->get();
     }
 
-    void ask(host& asker, const host_id& id, const limit_question& question,
+    void ask(host& asker, const host_id& id, const limit_query& question,
         const std::function<void(const limit_grant&)>& on_grant, const std::function<void()>& on_failure)
     {
         host& home = *this->find(id);
@@ -152,7 +152,7 @@
             return;
         }
         ++this->asked;
-        const limit_holder* holder = asker.holder.get();
+        const limit_client* holder = asker.holder.get();
         const auto later = [this, &asker, holder](duration time, const std::function<void()>& action) {
             this->timers.schedule(this->now + time, [&asker, holder, action] {
                 if (asker.holder.get() == holder) {
@@ -183,10 +183,10 @@
             if (!this->runs(other) || this->is_lost()) {
                 continue;
             }
-            for (const limit_statement& statement : item.limits.list_news(this->now)) {
+            for (const limit_statement& statement : item.limits.list_updates(this->now)) {
                 other.limits.take(statement, this->now);
             }
-            for (const limit_statement& statement : other.limits.list_news(this->now)) {
+            for (const limit_statement& statement : other.limits.list_updates(this->now)) {
                 item.limits.take(statement, this->now);
             }
         }
@@ -261,7 +261,7 @@
             return;
         }
         if (!item.holder->take(limited)) {
-            if (tries < most_tries && !item.holder->is_used_up(limited)) {
+            if (tries < most_tries && !item.holder->is_exhausted(limited)) {
                 this->timers.schedule(
                     this->now + try_pause, [this, &item, tries] { this->send(item, tries + 1); });
             }
@@ -273,7 +273,7 @@
         if (counts && this->now >= item.excused_until) {
             this->counted.push_back(this->now);
         }
-        const limit_holder* holder = item.holder.get();
+        const limit_client* holder = item.holder.get();
         this->timers.schedule(this->now + answer_time, [this, &item, holder, sent = this->now] {
             if (item.holder.get() != holder || !this->named) {
                 return;
@@ -294,12 +294,12 @@
 };
 
 /// Questions between hosts, a second: some for each request that is granted, and one of each host at times.
-double most_questions(std::size_t hosts, double limit)
+double max_queries(std::size_t hosts, double limit)
 {
-    const limit_home_settings settings;
+    const limit_allocator_settings settings;
     const double seconds = std::chrono::duration<double>(settings.longest_wait).count();
     constexpr double margin = 1.1;
-    return margin * (settings.questions_per_request * limit + static_cast<double>(hosts) / seconds);
+    return margin * (settings.queries_per_request * limit + static_cast<double>(hosts) / seconds);
 }
 
 struct outcome
@@ -330,7 +330,7 @@
             const outcome result = play({.hosts = hosts, .limit = limit, .demand = 4 * limit + 20}, 20s);
             EXPECT_LE(result.most, most_allowed(limit)) << hosts << " hosts, limit " << limit;
             EXPECT_GE(result.rate, 0.9 * limit) << hosts << " hosts, limit " << limit;
-            EXPECT_LE(result.questions, most_questions(hosts, limit)) << hosts << " hosts, limit " << limit;
+            EXPECT_LE(result.questions, max_queries(hosts, limit)) << hosts << " hosts, limit " << limit;
         }
     }
 }
--- a/tests/auto/fleet/tst_carrierduty.cpp
+++ b/tests/auto/fleet/tst_renewalschedule.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <fleet/carrierduty.h>
 #include <fleet/ownership.h>
+#include <fleet/renewalschedule.h>
 
 #include <gtest/gtest.h>
 
@@ -10,23 +10,23 @@
 
 using namespace std::chrono_literals;
 
-constexpr carrier_settings settings{90s, 2s};
+constexpr renewal_settings settings{90s, 2s};
 
-class carrier_duty_test : public testing::Test
+class renewal_schedule_test : public testing::Test
 {
 protected:
     std::vector<host_id> hosts{host_id("a"), host_id("b"), host_id("c")};
     std::vector<host_id> ranked = rank_owners("record", this->hosts);
-    carrier_duty first{settings, this->ranked[0]};
-    carrier_duty second{settings, this->ranked[1]};
+    renewal_schedule first{settings, this->ranked[0]};
+    renewal_schedule second{settings, this->ranked[1]};
 
-    [[nodiscard]] std::size_t due(const carrier_duty& duty, duration elapsed) const
+    [[nodiscard]] std::size_t due(const renewal_schedule& duty, duration elapsed) const
     {
         return duty.due(time_point(elapsed), this->hosts, 10).size();
     }
 };
 
-TEST_F(carrier_duty_test, the_first_rank_carries_at_a_third_of_the_retention)
+TEST_F(renewal_schedule_test, the_first_rank_carries_at_a_third_of_the_retention)
 {
     this->first.note_seen("record", time_point());
     this->second.note_seen("record", time_point());
@@ -35,20 +35,20 @@
     EXPECT_EQ(this->due(this->second, 30s), 0U);
 }
 
-TEST_F(carrier_duty_test, the_next_rank_stands_in_for_one_that_is_gone)
+TEST_F(renewal_schedule_test, the_next_rank_stands_in_for_one_that_is_gone)
 {
     this->second.note_seen("record", time_point());
     EXPECT_EQ(this->due(this->second, 32s), 1U);
 }
 
-TEST_F(carrier_duty_test, the_next_rank_stands_down_when_it_sees_the_record_again)
+TEST_F(renewal_schedule_test, the_next_rank_stands_down_when_it_sees_the_record_again)
 {
     this->second.note_seen("record", time_point());
     this->second.note_seen("record", time_point(31s));
     EXPECT_EQ(this->due(this->second, 32s), 0U);
 }
 
-TEST_F(carrier_duty_test, a_record_that_came_from_a_peer_is_due_at_once_by_rank)
+TEST_F(renewal_schedule_test, a_record_that_came_from_a_peer_is_due_at_once_by_rank)
 {
     this->first.note_needed("record", time_point(100s));
     this->second.note_needed("record", time_point(100s));
@@ -57,7 +57,7 @@
     EXPECT_EQ(this->due(this->second, 102s), 1U);
 }
 
-TEST_F(carrier_duty_test, no_more_is_carried_at_once_than_asked_for)
+TEST_F(renewal_schedule_test, no_more_is_carried_at_once_than_asked_for)
 {
     for (int record = 0; record < 100; ++record) {
         this->first.note_seen(std::to_string(record), time_point());
--- a/tests/auto/fleet/tst_shares.cpp
+++ b/tests/auto/fleet/tst_shares.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <fleet/ownership.h>
-#include <fleet/shareholder.h>
-#include <fleet/sharehome.h>
+#include <fleet/shareallocator.h>
+#include <fleet/shareclient.h>
 
 #include <gtest/gtest.h>
 
@@ -21,8 +21,8 @@
     {
         host_id name;
         std::vector<host_id> listed; ///< what this host takes for the live hosts
-        std::unique_ptr<share_home> home;
-        std::unique_ptr<share_holder> holder;
+        std::unique_ptr<share_allocator> home;
+        std::unique_ptr<share_client> holder;
         bool is_dead = false;
         int admitted = 0;
         int refused = 0;
@@ -37,9 +37,9 @@
             auto host = std::make_unique<test_host>();
             host->name = name;
             host->listed = this->names;
-            host->home = std::make_unique<share_home>(
+            host->home = std::make_unique<share_allocator>(
                 [this](const client_account_id&) { return &this->account.limits; });
-            host->holder = std::make_unique<share_holder>(name, this->make_hooks(*host));
+            host->holder = std::make_unique<share_client>(name, this->make_hooks(*host));
             host->holder->start();
             this->hosts.push_back(std::move(host));
         }
@@ -50,8 +50,8 @@
         share_hooks hooks;
         hooks.timers = make_timer_hooks(this->timers, [this] { return this->now; });
         hooks.live_hosts = [&host] { return host.listed; };
-        hooks.ask_home = [this, &host](const host_id& owner, const share_question& question, auto on_grants,
-                             auto on_failure) {
+        hooks.query_allocator = [this, &host](const host_id& owner, const share_query& question,
+                                    auto on_grants, auto on_failure) {
             if (host.is_dead) {
                 return;
             }
@@ -62,7 +62,7 @@
                     return;
                 }
                 on_grants(decode_share_grants(encode_share_grants(
-                    target.home->answer(decode_share_question(encode_share_question(question)), this->now))));
+                    target.home->answer(decode_share_query(encode_share_query(question)), this->now))));
             });
         };
         return hooks;
--- a/tests/auto/site/tst_trialclaims.cpp
+++ b/tests/auto/site/tst_trialclaims.cpp
@@ -183,7 +183,7 @@
         this->suspect_on_all();
         given += this->claim_on_all();
     }
-    EXPECT_EQ(given, most_trials);
+    EXPECT_EQ(given, max_trials);
 }
 
 TEST_F(trial_claims_test, a_host_that_starts_knows_what_the_store_knows)
@@ -196,8 +196,8 @@
     this->pass(1s);
     this->topic.fails = false;
     this->pass(1s);
-    const judged_request judged = this->hosts.front()->suspects.judge(this->content, this->now);
-    EXPECT_EQ(judged.judgement, send_judgement::later) << "one trial was given, by a host that is gone";
+    const send_assessment judged = this->hosts.front()->suspects.assess(this->content, this->now);
+    EXPECT_EQ(judged.decision, send_decision::later) << "one trial was given, by a host that is gone";
     EXPECT_GT(judged.wait, duration(3s));
 }
 
@@ -234,7 +234,7 @@
     claiming_host& host = *this->hosts.front();
     host.claims->start();
     this->pass(1s);
-    EXPECT_EQ(host.suspects.judge(this->content, this->now).judgement, send_judgement::never);
+    EXPECT_EQ(host.suspects.assess(this->content, this->now).decision, send_decision::never);
     EXPECT_EQ(host.suspects.record_count(), 1U);
 }
 
--- a/tests/support/sitefleet.cpp
+++ b/tests/support/sitefleet.cpp
@@ -302,7 +302,7 @@
         .fleet_size = item.table->known_count(),
         .turn = static_cast<double>(stable_hash(item.name.id.value()) % 1000) / 1000});
     std::size_t asked = 0;
-    for (const known_host& peer : item.table->choose_asked(this->now)) {
+    for (const known_host& peer : item.table->select_hosts_to_query(this->now)) {
         this->ask(item, this->find(peer.id), asked < asked_for_changes);
         ++asked;
     }
@@ -339,7 +339,7 @@
 void site_fleet::ask_hosts(host& item, host& other)
 {
     this->timers.schedule(this->now + paused_store::round_trip,
-        [this, &item, &other] { item.table->take_all(other.table->list_states(), this->now); });
+        [this, &item, &other] { item.table->merge_states(other.table->list_states(), this->now); });
 }
 
 void site_fleet::tell_leaving(std::size_t number, const std::string& name)
@@ -356,7 +356,7 @@
 
 void site_fleet::hear(host& item, const peer_report& report) const
 {
-    item.table->note_heard(report, this->now);
+    item.table->record_report(report, this->now);
     item.knowledge->take_leaving(report);
     item.exchange->note_holder(report.sender, report.bundle_version);
 }
