--- a/src/libs/fleet/bundlefollower.cpp
+++ b/src/libs/fleet/bundlefollower.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Records that one host carries forward in one look, well below the log's some hundred appends a second.
+/// Records that a host renews in one round, well below the log's capacity of some hundred appends a second.
 constexpr std::size_t max_renewals_per_round = 20;
 constexpr std::uint32_t most_doublings = 10;
-/// Peers are asked so often for missing parts before the log is searched for them.
+/// Queries to peers for missing parts before the log is searched for them.
 constexpr std::uint32_t part_queries_before_search = 1;
 constexpr duration pause_at_head = std::chrono::milliseconds(50);
 const std::string activation_record = "activation";
@@ -30,8 +30,8 @@
 {
     this->is_running = true;
     this->is_reading = false;
-    // A peer's state spares a starting host the whole log, and the log the reading of many hosts that start
-    // at once.
+    // A peer's state saves a starting host from reading the whole log, and the log from the load of many
+    // hosts that start at once.
     const std::size_t asked = this->hooks.ask_peers({});
     const duration wait = asked == 0 || this->applied ? duration::zero() : this->settings.first_peer_wait;
     this->read_timer = this->hooks.timers.schedule_after(wait, [this] { this->begin_reading(); });
@@ -63,7 +63,7 @@
 {
     const std::weak_ptr<bool> held = this->alive;
     const auto guard = [this, held] { return !held.expired() && this->is_running; };
-    // The first reads don't wait, so that a starting host reaches the log's end at once.
+    // The first reads don't wait, so that a starting host reaches the log's end quickly.
     const duration wait = this->has_reached_head ? this->settings.read_wait : duration::zero();
     this->hooks.log.read(
         this->activations.next_offset(), wait,
@@ -204,10 +204,10 @@
             if (part != nullptr && std::find(wanted.begin(), wanted.end(), part->digest) != wanted.end()) {
                 this->store.add(part->body);
                 this->apply();
-                wanted = this->wanted_parts(); // a manifest that was found names more
+                wanted = this->wanted_parts(); // a manifest that was found may name more parts
             }
         } catch (const error&) {
-            continue; // told when it was first read
+            continue; // reported when it was first read
         }
     }
     this->is_searching = !page.entries.empty() && !this->wanted_parts().empty();
@@ -343,7 +343,7 @@
         this->duty.forget(record);
         return;
     }
-    // If the answer is lost the record is due again until it is read back, and a second copy is harmless.
+    // If the answer is lost, the record stays due until it is read back; a second copy is harmless.
     this->hooks.log.append(
         data, [](log_offset) {},
         [this, held = std::weak_ptr<bool>(this->alive)](const error& failure) {
--- a/src/libs/fleet/bundlefollower.h
+++ b/src/libs/fleet/bundlefollower.h
@@ -21,40 +21,42 @@
     trust_settings trust;
     renewal_settings carrier;
     duration read_wait = std::chrono::seconds(5); ///< how long one read of the log may wait for a record
-    duration retry_pause = std::chrono::milliseconds(500); ///< before the log is read again after a failure
+    duration retry_pause = std::chrono::milliseconds(
+        500); ///< before the log is read again after a failure; doubled with each failure
     duration longest_retry_pause = std::chrono::seconds(8);
     /// How long a starting host waits for a peer's state before it reads the log from its beginning.
     duration first_peer_wait = std::chrono::milliseconds(500);
     duration peer_interval =
-        std::chrono::seconds(2); ///< between questions to peers while the log doesn't serve
-    duration renewal_interval = std::chrono::seconds(5); ///< between looks at what must be carried forward
-    std::size_t max_unpinned_bytes = 4U << 20U; ///< parts published and not in force; others are found again
+        std::chrono::seconds(2); ///< between queries to peers while the log is unavailable
+    duration renewal_interval = std::chrono::seconds(5); ///< between checks for records to renew
+    std::size_t max_unpinned_bytes = 4U
+        << 20U; ///< bound of parts that are not in force; evicted ones can be fetched again
 };
 
-/// A bundle that has taken force on this host.
+/// A bundle that is active on this host.
 struct bundle_in_force
 {
     bundle content;
     activation source;
 };
 
-/// What a follower needs from outside.
+/// Dependencies of a follower.
 struct follower_hooks
 {
     log_hooks log;
     timer_hooks timers;
-    /// The hosts that are live by the platform's list, this one included.
+    /// Returns the hosts that are live by the platform's list, this one included.
     std::function<std::vector<host_id>()> live_hosts;
-    /// Asks some peers for their state and for parts, and returns how many; answers come through
+    /// Queries some peers for their state and for parts, and returns their number; answers arrive through
     /// `handle_peer_state`.
     std::function<std::size_t(const std::vector<part_digest>& missing)> ask_peers;
-    /// Takes a checked bundle into force.
+    /// Activates a verified bundle on this host.
     std::function<void(std::shared_ptr<const bundle_in_force>)> on_bundle;
-    /// Tells an event for logs and metrics: its kind, the peer and the reason.
+    /// Reports an event for logs and metrics: its kind, the peer and the reason.
     std::function<void(event_type kind, const std::string& peer, const std::string& reason)> on_event;
 };
 
-/// What a follower knows, for status pages.
+/// State of a follower, for status pages.
 struct follower_status
 {
     generation_number known_generation; ///< accepted by the log
@@ -67,8 +69,8 @@
     std::string failure; ///< why the known generation is not in force here; empty if it is
 };
 
-/// Follows the operators' stream of the log, keeps the bundle in force on this host, and does this host's
-/// part in carrying it forward before it expires.
+/// Follows the operators' stream of the log, keeps the bundle in force on this host up to date, and renews
+/// its records before they expire.
 class bundle_follower
 {
 public:
@@ -76,9 +78,9 @@
 
     void start();
     void stop();
-    /// A peer has answered `ask_peers`.
+    /// Handles a peer's answer to `ask_peers`.
     void handle_peer_state(const peer_bundle_state& state);
-    /// What this host answers when a peer asks; empty if it has no confirmed state.
+    /// Returns the answer to a peer's query; empty if this host has no confirmed state.
     [[nodiscard]] std::optional<peer_bundle_state> answer_peer(const std::vector<part_digest>& wanted) const;
 
     [[nodiscard]] follower_status status() const;
@@ -91,16 +93,16 @@
     void begin_reading();
     void handle_page(const log_page& page);
     void handle_entry(const log_entry& entry);
-    /// Keeps the parts of an accepted bundle from being dropped by what follows it in the log.
+    /// Pins the parts of an accepted bundle so that later records of the log don't evict them.
     void pin_accepted_parts();
     void handle_log_failure(const error& failure);
     void check_with_peers();
-    /// Reads the log from its beginning for parts that this host has dropped and no peer gave.
+    /// Reads the log from its beginning for parts that this host has evicted and no peer has supplied.
     void search_log(log_offset from);
     void search_page(const log_page& page);
     void apply();
     void apply_manifest(const activation& source, const std::string& manifest_body);
-    /// Protects the parts of a bundle that is still being gathered, besides those in force.
+    /// Pins the parts of a bundle that is still being fetched, in addition to those in force.
     void pin_parts(const bundle_manifest& next, const part_digest& manifest);
     void refuse(const activation& source, const std::string& reason);
     void renew_due_records();
@@ -115,14 +117,14 @@
     renewal_schedule duty;
     std::shared_ptr<const bundle_in_force> applied;
     std::vector<part_digest> active_parts; ///< of the bundle in force, its manifest included
-    activation_id refused; ///< in force by the log, and yet not applicable here
+    activation_id refused; ///< in force by the log, but not applicable on this host
     std::string refusal;
     bool is_running = false;
     bool is_log_reachable = false;
     bool has_reached_head = false;
     bool is_reading = false;
     bool is_searching = false;
-    std::uint32_t unanswered_part_queries = 0; ///< questions to peers since parts are missing
+    std::uint32_t unanswered_part_queries = 0; ///< queries to peers since parts are missing
     std::uint32_t failures_in_a_row = 0;
     timer_id read_timer = 0;
     timer_id peer_timer = 0;
--- a/src/libs/fleet/bundlemessages.h
+++ b/src/libs/fleet/bundlemessages.h
@@ -8,17 +8,17 @@
 
 namespace sailtiller {
 
-/// The question by which a host asks a peer for the bundle in force, as the method of a peer stream.
+/// Method of the peer stream by which a host queries a peer for the bundle in force.
 constexpr const char* bundle_query = "bundle";
 
-/// What a peer tells of the bundle in force.
+/// A peer's state of the bundle in force.
 struct peer_bundle_state
 {
     activation_snapshot snapshot;
-    std::vector<std::string> parts; ///< bodies of the parts that were asked for and that it holds
+    std::vector<std::string> parts; ///< bodies of the requested parts that the peer holds
 };
 
-/// All four are CBOR; the readers throw `error` if the bytes have not the shape.
+/// All messages are CBOR; the decoders throw `error` if the bytes are malformed.
 std::string encode_bundle_query(const std::vector<part_digest>& wanted);
 std::vector<part_digest> decode_bundle_query(const std::string& bytes);
 std::string encode_bundle_state(const peer_bundle_state& state);
--- a/src/libs/fleet/cbormessage.h
+++ b/src/libs/fleet/cbormessage.h
@@ -9,7 +9,7 @@
 
 namespace sailtiller {
 
-/// JSON as CBOR bytes, the form of every message between hosts.
+/// Encodes JSON as CBOR, the format of all messages between hosts.
 inline std::string to_cbor(const json& item)
 {
     std::string bytes;
@@ -17,7 +17,7 @@
     return bytes;
 }
 
-/// Decodes CBOR bytes by `decode`; throws `error` with the step if they are malformed or of another shape.
+/// Decodes CBOR bytes with `decode`; throws `error` with the step if they are malformed or lack a field.
 template <typename Decode>
 auto decode_cbor(const char* step, const std::string& bytes, const Decode& decode)
 {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Null for nothing.
+/// Writes null for an empty value.
 template <typename Value>
 json write_optional(const std::optional<Value>& value)
 {
@@ -41,7 +41,7 @@
     return item.is_null() ? std::nullopt : std::optional<Value>(item.get<Value>());
 }
 
-/// In ticks of the loop's clock, null for nothing.
+/// Writes ticks of the loop's clock, or null for an empty value.
 inline json write_age(const std::optional<duration>& age)
 {
     return age ? json(age->count()) : json();
--- a/src/libs/fleet/crashsuspects.cpp
+++ b/src/libs/fleet/crashsuspects.cpp
@@ -161,12 +161,11 @@
 
 std::vector<crash_record> crash_suspects::list_updates(time_point now) const
 {
-    // Chosen before they are copied: of 512 records, a report of 32 takes 19 us so, and 132 us with all
-    // copied.
+    // Selects before copying: with 512 records, a report of 32 takes 19 us instead of 132 us.
     std::vector<const std::pair<const request_content, entry>*> told;
     for (const auto& record : this->records) {
         const entry& item = record.second;
-        // A host that has just started, or was cut off, must hear of every suspect request, however old.
+        // A host that has just started or was cut off must receive every suspect request, however old.
         if (is_suspect(item) || now - item.renewed <= this->settings.report_window) {
             told.push_back(&record);
         }
@@ -188,7 +187,7 @@
     for (const crash_record& record : news) {
         entry& item = this->find_or_add(record.content, now - record.age);
         if (record.clearances < item.clearances) {
-            item.renewed = now; // the teller was away when it was cleared, and is told now
+            item.renewed = now; // the sender missed the clearance and receives it now
             continue;
         }
         item.renewed = std::max(item.renewed, now - record.age);
--- a/src/libs/fleet/crashsuspects.h
+++ b/src/libs/fleet/crashsuspects.h
@@ -13,77 +13,78 @@
 
 namespace sailtiller {
 
-/// Upstreams that have ended under a request make it suspect. Three is what the users' sheets let a request
-/// cost; with fewer, a request that was twice beside the cause would wait for leave.
+/// Number of upstream crashes under a request that make it suspect. The requirements allow a request to cost
+/// three; with fewer, a request that twice ran beside the actual cause would be held back.
 constexpr std::size_t crashes_until_suspect = 3;
-/// Sends that the whole fleet gives a suspect request, by the users' sheets.
+/// Trials that the whole fleet allows a suspect request, by the requirements.
 constexpr unsigned max_trials = 3;
 
-/// What hosts tell each other of one request under which upstreams have ended.
+/// What hosts report to each other of a request under which upstreams have crashed.
 struct crash_record
 {
     request_content content;
     std::vector<upstream_id> crashed; ///< starts of upstreams; at most `crashes_until_suspect`
-    unsigned trials = 0; ///< sends that the fleet has given it since it is suspect
-    /// How often an upstream has run it to its end, which proves that the ends before came of something else:
-    /// all of the above counts from the last one on.
+    unsigned trials = 0; ///< sends that the fleet has allowed since the request became suspect
+    /// Number of times that an upstream completed the request, which proves that earlier crashes had another
+    /// cause. The fields above count from the last clearance on.
     unsigned clearances = 0;
-    duration age{}; ///< since anything of it was new, or it came again
+    duration age{}; ///< since the record last changed, or the request last arrived
 };
 
-/// What the store's record of a suspect request says.
+/// The store's record of a suspect request.
 struct trial_record
 {
     unsigned trials = 0;
-    unsigned clearances = 0; ///< after which these trials were given
+    unsigned clearances = 0; ///< after which these trials were allowed
 };
 
-/// Times and bounds of what a host remembers.
+/// Retention times and bounds of the records.
 struct crash_suspects_settings
 {
-    /// At most so many requests; 512 with three ends each take 270 kB. The oldest of those that are not
-    /// suspect go first.
+    /// Maximum number of records; 512 with three crashes each take 270 kB. The oldest that are not suspect
+    /// are evicted first.
     std::size_t most_records = 512;
-    /// A request that never was suspect is forgotten after so long.
+    /// Retention of a request that never was suspect.
     duration memory = std::chrono::seconds(60);
-    /// One that is or was, counted from when it last came to any host.
+    /// Retention of a request that is or was suspect, from its last arrival at any host.
     duration suspect_retention = std::chrono::minutes(10);
-    /// News are told for so long: twenty rounds between hosts, as each host tells on what it hears.
+    /// Time for which a change is reported: twenty rounds between hosts, as each host forwards what it
+    /// receives.
     duration report_window = std::chrono::seconds(5);
-    /// Records in one report, the newest; 3.4 kB with three ends each. Many engines that end at once leave
-    /// hundreds.
+    /// Records in one report, the newest; 3.4 kB with three crashes each. Many engines that crash at once
+    /// leave hundreds of records.
     std::size_t max_per_report = 32;
-    /// Pauses between two trials, so that a request that does end its upstreams costs one engine at once and
-    /// not three, while a sound one is served by the first.
+    /// Pauses between trials: a request that crashes its upstreams costs one engine at a time and not three,
+    /// while a harmless one is served by the first trial.
     duration second_trial_pause = std::chrono::seconds(5);
     duration third_trial_pause = std::chrono::seconds(30);
 };
 
 /// Whether a request may be sent.
 enum class send_decision {
-    free, ///< as any other
-    trial, ///< it is suspect, and the fleet may try it once more
-    later, ///< it is suspect, and its last trial isn't over or was just now
-    never ///< it has ended its upstreams in all trials
+    free, ///< not suspect
+    trial, ///< suspect, and the fleet may try it once more
+    later, ///< suspect, and its last trial is still running or too recent
+    never ///< its upstreams crashed in all trials
 };
 
 struct send_assessment
 {
     send_decision decision = send_decision::free;
-    duration wait{}; ///< until it is worth coming back; of `later` and `never`
+    duration wait{}; ///< until a retry makes sense; with `later` and `never`
 };
 
-/// Requests under which upstreams have ended, as far as this host knows by itself and from the others. What
-/// hosts know of one request can be joined in any order: the upstreams that ended under it and the most
-/// trials since the latest time that it proved sound.
+/// Requests under which upstreams have crashed, from this host's own observations and the reports of others.
+/// Reports on a request can be merged in any order: the set of crashed upstreams and the maximum of the
+/// trials since the last clearance.
 ///
-/// A request may end each upstream that begins it, and come again at any host. Forgotten with each try, one
-/// that did so was sent to 18 upstreams after three had ended under it, and all streams of 29 engines broke
-/// off with them (a log of one play, 9 hosts).
+/// A request may crash each upstream that starts it, and be retried at any host. Without these records, such
+/// a request was sent to 18 upstreams after three had crashed under it, and all streams of 29 engines were
+/// cut off (9 hosts).
 class crash_suspects
 {
 public:
-    /// Told when a request has become suspect, and when a suspect one proved sound on this host.
+    /// Called when a request becomes suspect, and when a suspect one is cleared on this host.
     using suspect_event_handler = std::function<void(event_type, const request_content&)>;
 
     explicit crash_suspects(crash_suspects_settings settings = {}, suspect_event_handler on_news = nullptr)
@@ -92,26 +93,26 @@
     {
     }
 
-    /// True if nothing is remembered, as on any day on which no upstream ends.
+    /// True if there are no records, as long as no upstream crashes.
     [[nodiscard]] bool is_empty() const { return this->records.empty(); }
     [[nodiscard]] std::size_t record_count() const { return this->records.size(); }
     [[nodiscard]] std::size_t suspect_count() const;
-    /// This start of an upstream ended while it began the request.
+    /// Records that this start of an upstream crashed while it started the request.
     void note_crash(const request_content& content, const upstream_id& upstream, time_point now);
-    /// An upstream ran the request to its end.
+    /// Records that an upstream completed the request.
     void note_completed(const request_content& content, time_point now);
-    /// So many trials were given to the request, by the store's record.
+    /// Records the trials allowed to the request by the store's record.
     void note_trials(const request_content& content, const trial_record& record, time_point now);
-    /// Whether the request, which came or is about to go out again, may be sent.
+    /// Decides whether a request that arrived or is to be retried may be sent.
     send_assessment assess(const request_content& content, time_point now);
-    /// The trials that this host knows of.
+    /// Returns the trials known to this host.
     [[nodiscard]] trial_record trials_of(const request_content& content) const;
-    /// What the next report tells.
+    /// Returns the records for the next report.
     [[nodiscard]] std::vector<crash_record> list_updates(time_point now) const;
-    /// What another host told.
+    /// Merges the records of another host's report.
     void handle_updates(const std::vector<crash_record>& news, time_point now);
-    /// Forgets what is too old. Returns the requests of which trials are known, whose records in the store
-    /// end with it.
+    /// Removes expired records. Returns those requests that had trials, so that their records in the store
+    /// can be removed too.
     std::vector<request_content> forget_old(time_point now);
 
 private:
@@ -120,7 +121,7 @@
         std::set<upstream_id> crashed;
         unsigned trials = 0;
         unsigned clearances = 0;
-        time_point renewed{}; ///< anything was new, or the request came
+        time_point renewed{}; ///< time of the last change, or of the last arrival of the request
         time_point last_trial{};
     };
 
@@ -131,7 +132,7 @@
     void evict_oldest();
     void add_crash(const request_content& content, entry& item, const upstream_id& upstream, time_point now);
     static void add_trials(entry& item, unsigned trials, time_point now);
-    /// All that was known of the request counts no more, as it was cleared so often.
+    /// Resets the record if the request was cleared more often than known here.
     static void apply_clearances(entry& item, unsigned clearances, time_point now);
     void tell(event_type event, const request_content& content) const;
 
--- a/src/libs/fleet/hosttable.cpp
+++ b/src/libs/fleet/hosttable.cpp
@@ -23,7 +23,7 @@
 {
     std::map<upstream_id, upstream_work> heard_work;
     double heard = 0; ///< hosts
-    double awaited = 0; ///< hosts that are there and were not heard lately
+    double awaited = 0; ///< hosts that are up and did not report recently
 
     void add(const std::vector<upstream_work>& work)
     {
@@ -67,7 +67,7 @@
 
 bool host_table::is_live_by_turns(const entry& item, time_point now) const
 {
-    // Two turns, so that one lost answer doesn't make a host seem gone.
+    // Two turns, so that one lost answer doesn't make a host count as down.
     const auto rounds =
         static_cast<duration::rep>(2 * this->partner_count() / this->settings.max_queries_per_round);
     const duration limit = std::max(this->settings.heartbeat_timeout, rounds * this->settings.round_interval);
@@ -101,7 +101,7 @@
     if (this->is_full_mesh()) {
         return count;
     }
-    // Partners change as hosts come and go; only at its own start others may have started just now as well.
+    // Partners change with the membership; only at this host's own start may others be starting too.
     return this->is_new(now) ? count * this->members.others().size() / this->partner_count() : 0;
 }
 
@@ -127,7 +127,7 @@
         return;
     }
     entry& item = this->find_or_add(host, now);
-    // Its own word, if it was heard, goes before what others tell.
+    // A host's own report takes precedence over those of others.
     if (!this->is_live(item, now)) {
         item.host = host;
     }
@@ -216,7 +216,7 @@
             entry& item = this->find_or_add(*host, now);
             item.is_partner = true;
             if (former.count(host->id) == 0 && !this->is_live(item, now)) {
-                // It had no reason to be heard; until its turn the others' word counts.
+                // It was not monitored before; until its turn the reports of others are used.
                 item.heard.reset();
                 item.asked = {};
                 item.added = now;
@@ -228,7 +228,7 @@
 void host_table::detect_unreachable_partners(time_point now)
 {
     if (now - this->last_round > this->settings.answer_timeout) {
-        this->awake_since = now; // this host itself stood still
+        this->awake_since = now; // this host itself was suspended
     }
     this->last_round = now;
     if (this->is_new(now) || now - this->awake_since < this->settings.unreachable_timeout) {
@@ -448,7 +448,7 @@
 bool host_table::is_duty_standby() const
 {
     if (!this->is_full_mesh()) {
-        return false; // the others' word comes as soon
+        return false; // the reports of others arrive as soon
     }
     const auto before = std::count_if(
         this->others.begin(), this->others.end(), [own = duty_order(this->own().id)](const auto& item) {
--- a/src/libs/fleet/limitallocator.cpp
+++ b/src/libs/fleet/limitallocator.cpp
@@ -25,7 +25,7 @@
         return grant;
     }
     if (!grant.statement.requests_per_second) {
-        return grant; // it names none any more
+        return grant; // the limit has ended
     }
     const double rate = std::max(*grant.statement.requests_per_second, this->settings.least_rate);
     const auto [place, is_new] = this->buckets.try_emplace(question.statement.upstream);
@@ -35,7 +35,7 @@
     }
     this->refill(item, rate, now);
     this->note_querying_host(item, question.holder, now);
-    // Each its part of what is there: what one host is granted and doesn't use is lost to the others.
+    // Each host gets an equal part: requests granted to a host that doesn't use them are lost to the others.
     const double part = std::max(1.0, item.requests / static_cast<double>(item.querying_hosts.size()));
     grant.granted = std::min(question.wanted, static_cast<unsigned>(std::min(part, item.requests)));
     item.requests -= grant.granted;
--- a/src/libs/fleet/limitclient.cpp
+++ b/src/libs/fleet/limitclient.cpp
@@ -8,21 +8,20 @@
 
 namespace {
 
-/// What is granted and not sent by then is lost: requests that are held back and sent later would come beside
-/// those that are granted by then.
+/// Validity of a grant. Unused requests expire: sent later, they would add to those granted in the meantime.
 constexpr duration grant_time = std::chrono::milliseconds(500);
-/// A host that doesn't answer, or shares nothing out now, isn't asked for so long.
+/// Time for which a host that doesn't answer or grants nothing is not queried.
 constexpr duration skip_time = std::chrono::seconds(1);
-/// Questions in a row without answer until then: each one that is passed over makes for two hosts that share
-/// out the same limit, and an answer may be lost.
+/// Consecutive unanswered queries until a host is skipped. Each skipped host may lead to two allocators of
+/// the same limit, and a single answer may be lost.
 constexpr unsigned max_failures = 3;
-/// Questions one after another; then the upstream is left alone for a moment.
+/// Consecutive queries before a pause for the upstream.
 constexpr unsigned max_queries = 5;
 constexpr duration unanswered_pause = std::chrono::milliseconds(250);
-/// A limit isn't used up for good while the next question is due so soon: a caller that is sent away comes
-/// back after a second.
+/// A limit doesn't count as exhausted while the next query is due this soon: a rejected caller retries only
+/// after a second.
 constexpr duration short_wait_limit = std::chrono::milliseconds(100);
-/// In one question; a host sends no more than this in the time between two.
+/// Requests in one query; a host sends no more than this between two queries.
 constexpr unsigned max_wanted = 64;
 
 } // namespace
@@ -114,13 +113,13 @@
     }
     const auto found = this->holdings.find(id);
     if (found == this->holdings.end()) {
-        return; // it named no limit any more in between
+        return; // the limit has ended in the meantime
     }
     holding& item = found->second;
     item.is_asking = false;
     item.wanted = 0;
     item.granted = grant.granted;
-    // Counted from the question: a grant that was long under way is no newer for it.
+    // Counted from the query, so that a delayed grant is not valid for longer.
     item.expires = asked + grant_time;
     item.ask_again = now + grant.wait;
 }
@@ -150,8 +149,8 @@
     const upstream_id& id, const std::optional<double>& requests_per_second, time_point sent)
 {
     const time_point now = this->hooks.timers.now();
-    // An answer without a limit may have been under way for longer than one that named it: it says no more
-    // than that there was none when its request went out.
+    // An answer without a limit may have been delayed beyond one that named it; it only shows that there was
+    // no limit when its request was sent.
     const duration age = requests_per_second ? duration::zero() : now - sent;
     this->limits.take({id, requests_per_second, age}, now);
 }
--- a/src/libs/fleet/membership.cpp
+++ b/src/libs/fleet/membership.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// In a smaller fleet there may be nobody else to say that a host is gone.
+/// In a smaller fleet there may be no second host to confirm that a host is down.
 constexpr std::size_t hosts_for_two_words = 4;
 
 std::uint64_t digest_of(const host_state& state)
@@ -97,7 +97,7 @@
     const auto found = this->members.find(id);
     const bool is_new = found == this->members.end();
     if (is_new && news.unreachable_from.size() >= this->confirmations_needed()) {
-        return; // it has been forgotten
+        return; // it has been removed
     }
     member& item = is_new ? this->members[id] : found->second;
     if (!is_new && news.incarnation < item.state.incarnation) {
@@ -122,7 +122,7 @@
     news.incarnation = report.incarnation;
     news.is_leaving = report.is_leaving;
     const auto before = this->members.find(report.sender.id);
-    // What it says of the store is told by its state alone, as few hosts tell that at all.
+    // `reads_store` is taken from the host's state only, as few hosts report it.
     news.reads_store = before == this->members.end() || before->second.state.reads_store;
     this->take(news, propagation::forwarded, now);
     const auto known = this->members.find(report.sender.id);
@@ -200,7 +200,7 @@
     std::vector<host_state> news;
     const auto known = this->members.find(receiver);
     if (known != this->members.end()) {
-        // It has to hear what is believed of it, so that it can say otherwise.
+        // Lets the receiver refute what others assume of it.
         const member& item = known->second;
         if (!item.state.unreachable_from.empty() || item.state.is_leaving
             || item.heard < item.state.incarnation) {
--- a/src/libs/fleet/ownership.h
+++ b/src/libs/fleet/ownership.h
@@ -9,10 +9,10 @@
 
 namespace sailtiller {
 
-/// The hosts in the order in which they own a key: the first one owns it, the next follow if it is gone.
-/// Rendezvous hashing: when a host leaves, only the keys that it owned move.
+/// Returns the hosts ranked as owners of a key by rendezvous hashing: the first one owns it, the next ones
+/// take over when it is down. When a host leaves, only the keys that it owned move.
 std::vector<host_id> rank_owners(std::string_view key, const std::vector<host_id>& live_hosts);
-/// True if fewer than `count` of the hosts come before this one for the key.
+/// True if fewer than `count` hosts are ranked before this one for the key.
 bool is_among_owners(
     std::string_view key, const std::vector<host_id>& live_hosts, const host_id& self, std::size_t count);
 /// The first of `rank_owners`, without sorting; empty if there is no live host.
--- a/src/libs/fleet/partstore.h
+++ b/src/libs/fleet/partstore.h
@@ -9,8 +9,8 @@
 
 namespace sailtiller {
 
-/// The bundle parts that a host holds: those in force, and the latest others up to a bound of bytes, so that
-/// a bundle published a while ago can take force without being fetched.
+/// The bundle parts that a host holds: the pinned parts of the bundle in force, and the latest others up to a
+/// size bound, so that a bundle published earlier can be activated without fetching it.
 class part_store
 {
 public:
@@ -19,7 +19,7 @@
     void add(const std::string& body);
     /// Null if the part isn't held.
     [[nodiscard]] const std::string* find(const part_digest& digest) const;
-    /// Keeps these parts whatever the bound, also those that arrive later; those kept before become spare.
+    /// Pins these parts regardless of the bound, including those that arrive later, and unpins all others.
     void keep(const std::vector<part_digest>& digests);
     [[nodiscard]] std::size_t size() const { return this->bodies.size(); }
     [[nodiscard]] std::size_t bytes() const { return this->total_bytes; }
--- a/src/libs/fleet/peerreport.cpp
+++ b/src/libs/fleet/peerreport.cpp
@@ -31,7 +31,7 @@
 {
     json list = json::array();
     for (const upstream_work& item : report.work) {
-        // Whole numbers are shorter in CBOR, and a token is nothing here.
+        // Whole numbers are shorter in CBOR, and fractions of a token are negligible.
         list.push_back(
             json::array({item.id.value(), static_cast<std::uint64_t>(item.token_layers), item.requests}));
     }
@@ -166,7 +166,7 @@
             work.at(2).get<unsigned>()});
     }
     report.suspicions = read_suspicions(item.at("suspicions"));
-    // A host of an older release doesn't name any.
+    // Absent in reports of older releases.
     report.unwilling = read_suspicions(item.value("unwilling", json::array()));
     for (const json& sign : item.at("signs")) {
         report.signs.push_back({upstream_id(sign.at(0).get<std::string>()), sign.at(1).get<double>(),
@@ -178,7 +178,7 @@
                 holding.at(2).get<unsigned>(), duration(holding.at(3).get<duration::rep>())});
     }
     report.news = read_news(item.value("news", json::array()));
-    // Nor does it tell of requests under which upstreams end.
+    // The fields below are absent in reports of older releases.
     for (const json& crash : item.value("crashes", json::array())) {
         report.crashes.push_back(read_crash(crash));
     }
@@ -216,7 +216,7 @@
         {"hosts_digest", report.hosts_digest}, {"news", write_news(report.news)},
         {"crashes", write_crashes(report)}, {"limits", write_limits(report)},
         {"leaving_upstreams", write_leaving(report)},
-        // A host of an older release reads no report without it.
+        // Required by older releases.
         {"hosts", json::array()}});
 }
 
@@ -231,10 +231,10 @@
         report.entries_offset = read_optional<std::uint64_t>(item.at("offset"));
         report.entries_age = read_age(item.at("entries_age"));
         report.store_disturbed_age = read_age(item.at("disturbed_age"));
-        // A host of an older release doesn't say; it is taken to read.
+        // Absent in reports of older releases, which count as reading the store.
         report.reads_store = item.value("reads_store", true);
         report.are_entries_whole = item.at("whole").get<bool>();
-        // Nor does it ask for changes by themselves.
+        // Older releases send no withheld offset.
         report.withheld_offset = read_optional<std::uint64_t>(item.value("withheld_offset", json()));
         report.wants_changes = item.value("wants_changes", true);
         report.incarnation = incarnation_number(item.value("incarnation", std::uint64_t{1}));
--- a/src/libs/fleet/peerreport.h
+++ b/src/libs/fleet/peerreport.h
@@ -22,7 +22,7 @@
     bool operator==(const known_host&) const = default;
 };
 
-/// Counts the states of one host; of two that are told of it, the higher one holds.
+/// Version of a host's state; of two reported states the one with the higher number is valid.
 using incarnation_number = strong_type<struct incarnation_number_tag, std::uint64_t>;
 
 /// The state of a host, as hosts pass it on to each other.
@@ -31,11 +31,12 @@
     known_host host;
     incarnation_number incarnation{1};
     bool is_leaving = false;
-    bool reads_store = true; ///< told only by the hosts that may be among those that read it for all
-    std::vector<host_id> unreachable_from; ///< some of the hosts that it left without an answer in this state
+    bool reads_store = true; ///< reported only by reader candidates
+    std::vector<host_id>
+        unreachable_from; ///< some of the hosts whose queries it left unanswered in this state
 };
 
-/// What one host's requests hold at an upstream.
+/// Work of one host's requests at an upstream.
 struct upstream_work
 {
     upstream_id id;
@@ -43,7 +44,7 @@
     unsigned requests = 0;
 };
 
-/// An upstream that failed a host's requests, and for how much longer nothing new goes there.
+/// An upstream that failed a host's requests, and for how much longer it gets no new ones.
 struct upstream_suspicion
 {
     upstream_id id;
@@ -54,27 +55,27 @@
 struct upstream_probe_result
 {
     upstream_id id;
-    double pace = 1; ///< how many times slower than it should it runs
+    double pace = 1; ///< factor by which it is slower than expected
     duration age{}; ///< since the answer
 };
 
-/// Layers that an engine holds by its own word, while its entry can't be read.
+/// Layers that an engine itself reports, while its entry can't be read.
 struct reported_layers
 {
     upstream_id id;
     unsigned begin = 0;
     unsigned end = 0; ///< exclusive
-    duration age{}; ///< since it told so
+    duration age{}; ///< since the engine's report
 };
 
-/// One change of an upstream's entry, as it lies in the store.
+/// One change of an upstream's entry in the store.
 struct entry_change
 {
     std::string key;
-    std::optional<std::string> value; ///< nothing: the entry is gone
+    std::optional<std::string> value; ///< nothing: the entry was removed
 };
 
-/// What a host tells another, in a question and in its answer. Ages are those at the sending.
+/// Report exchanged between two hosts, in a query and in its answer. Ages are as of the time of sending.
 struct peer_report
 {
     known_host sender;
@@ -83,25 +84,27 @@
     std::optional<duration> bundle_age; ///< since the bundle was known to be the newest
     std::optional<std::uint64_t> entries_offset; ///< up to which the sender knows the upstreams' entries
     std::optional<duration> entries_age;
-    std::optional<duration> store_disturbed_age; ///< since the store was last away; nothing: not known
+    std::optional<duration> store_disturbed_age; ///< since the store was last unavailable; nothing: unknown
     bool reads_store = true; ///< false if the store failed the sender's last read
-    /// The sender knows the entries up to there, and tells its changes only when asked for them by
-    /// themselves.
+    /// Offset up to which the sender knows the entries; it sends the changes only in answer to a separate
+    /// query.
     std::optional<std::uint64_t> withheld_offset;
-    bool wants_changes = true; ///< in a question: the answer may hold changes, if they are few
-    bool are_entries_whole = false; ///< the changes are all entries, and what is not there is gone
-    std::vector<entry_change> changes; ///< only for one who knows less
+    bool wants_changes = true; ///< in a query: the answer may contain changes if they are few
+    bool are_entries_whole = false; ///< the changes contain all entries, and missing ones were removed
+    std::vector<entry_change> changes; ///< only for a receiver that knows fewer changes
     std::vector<upstream_work> work;
     std::vector<upstream_suspicion> suspicions;
-    std::vector<upstream_suspicion> unwilling; ///< upstreams that refused the sender though they had room
-    std::vector<upstream_probe_result> signs; ///< of upstreams that were dead or are slow; only the latest
-    std::vector<reported_layers> holdings; ///< that differ from the entries; only while the store is away
-    std::vector<upstream_id> leaving_upstreams; ///< that said so in their answers, not by their entries
+    std::vector<upstream_suspicion> unwilling; ///< upstreams that refused the sender despite free capacity
+    std::vector<upstream_probe_result>
+        signs; ///< of upstreams that were dead or are slow; only the latest result
+    std::vector<reported_layers>
+        holdings; ///< that differ from the entries; only while the store is unavailable
+    std::vector<upstream_id> leaving_upstreams; ///< that announced it in their answers, not by their entries
     incarnation_number incarnation{1}; ///< of the sender's state
-    std::uint64_t hosts_digest = 0; ///< of the hosts that the sender believes in; 0: it doesn't say
-    std::vector<host_state> news; ///< of hosts whose state has changed lately
-    std::vector<crash_record> crashes; ///< requests under which upstreams have ended
-    std::vector<limit_statement> limits; ///< that upstreams name, or named lately
+    std::uint64_t hosts_digest = 0; ///< of the hosts known to the sender; 0: not reported
+    std::vector<host_state> news; ///< of hosts whose state changed recently
+    std::vector<crash_record> crashes; ///< requests under which upstreams have crashed
+    std::vector<limit_statement> limits; ///< that upstreams name or recently named
 };
 
 /// Writes the states of hosts as CBOR.
--- a/src/libs/fleet/renewalschedule.cpp
+++ b/src/libs/fleet/renewalschedule.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A record is carried forward when this share of its retention has passed, which leaves two thirds for an
-/// outage of the log and for carriers that are gone.
+/// A record is renewed when this fraction of its retention has passed, which leaves two thirds for an outage
+/// of the log and for hosts that are down.
 constexpr std::int64_t renewal_divisor = 3;
 
 } // namespace
@@ -27,7 +27,8 @@
 
 void renewal_schedule::note_needed(const std::string& record, time_point now)
 {
-    // Its age is unknown, so it is taken as due: the ranks' waiting keeps the others from appending it too.
+    // Its age is unknown, so it counts as due; the stagger between ranks keeps the others from appending it
+    // too.
     this->last_seen.try_emplace(record, now - this->settings.retention / renewal_divisor);
 }
 
--- a/src/libs/fleet/renewalschedule.h
+++ b/src/libs/fleet/renewalschedule.h
@@ -10,31 +10,31 @@
 
 namespace sailtiller {
 
-/// How long the log keeps records, and how the hosts share the work of carrying them forward.
+/// Retention of the log, and how the hosts share the renewal of its records.
 struct renewal_settings
 {
-    duration retention = std::chrono::hours(24); ///< the platform's; a record is gone after this time
-    duration stagger = std::chrono::seconds(20); ///< a host waits this much longer for each rank before it
+    duration retention = std::chrono::hours(24); ///< of the platform's log; a record expires after this time
+    duration stagger = std::chrono::seconds(20); ///< additional delay for each host ranked before this one
 };
 
-/// Decides when this host appends again a record that must not expire.
+/// Decides when this host renews a record that must not expire, by appending it again.
 ///
-/// Every host knows when it last saw each record in the log. At a third of the retention the record's
-/// first-ranked host (rendezvous hashing over the live hosts) carries it forward; each later rank waits one
-/// stagger more and stands down when it sees the record again. So few appends are made however many hosts
-/// there are, and none is lost when the first ranks are gone or paused.
+/// Every host tracks when it last saw each record in the log. At a third of the retention the record's
+/// first-ranked host (rendezvous hashing over the live hosts) renews it; each later rank waits one stagger
+/// more and does nothing if the record appears again. This keeps the number of appends small whatever the
+/// number of hosts, and no record is lost when the first ranks are down or paused.
 class renewal_schedule
 {
 public:
     renewal_schedule(renewal_settings settings, host_id self);
 
-    /// The record stands in the log, newly appended or appended again.
+    /// Records that the record was read from the log, newly appended or renewed.
     void note_seen(const std::string& record, time_point now);
-    /// The record is needed, and this host has not seen it in the log (it came from a peer).
+    /// Records that the record is needed and came from a peer, not from the log.
     void note_needed(const std::string& record, time_point now);
-    /// The record is needed no more.
+    /// Removes a record that is no longer needed.
     void forget(const std::string& record);
-    /// The records that this host is to append now, at most `most` of them.
+    /// Returns the records that this host should append now, at most `most`.
     [[nodiscard]] std::vector<std::string> due(
         time_point now, const std::vector<host_id>& live_hosts, std::size_t most) const;
     [[nodiscard]] std::size_t size() const { return this->last_seen.size(); }
--- a/src/libs/fleet/shareallocator.cpp
+++ b/src/libs/fleet/shareallocator.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// So many seconds' worth of requests may start at once.
+/// Size of the request bucket in seconds of the limit's rate.
 constexpr double burst_seconds = 1.0;
 
 } // namespace
--- a/src/libs/fleet/shareallocator.h
+++ b/src/libs/fleet/shareallocator.h
@@ -10,20 +10,19 @@
 
 namespace sailtiller {
 
-/// How long a granted share of streams is valid. A host that dies holds its share for so long; renewals of
-/// the shares in use are the larger part of the messages (docs/CAPACITY.md).
+/// Validity of a granted share of streams. A host that dies keeps its share for this long; renewals of shares
+/// in use make up most of the messages (docs/CAPACITY.md).
 constexpr duration share_lease = std::chrono::seconds(30);
 
-/// An account's home: shares out the account's limits, which are for the whole fleet, among the hosts that
-/// ask.
+/// Allocates an account's fleet-wide limits among the hosts that query them.
 ///
 /// The streams granted to all hosts never exceed the limit, except for streams in use when the limit was
-/// lowered or this host has just become the home: these are counted and never taken back. Requests a second
-/// come from one bucket.
+/// lowered or this host has just become the allocator: these are counted and never revoked. Requests per
+/// second come from one token bucket.
 class share_allocator
 {
 public:
-    /// `limits_of` gives an account's limits by the bundle in force; null if there is no such account.
+    /// Returns an account's limits by the bundle in force; null if there is no such account.
     using limits_lookup = std::function<const account_limits*(const client_account_id&)>;
 
     explicit share_allocator(limits_lookup limits_of);
@@ -32,7 +31,7 @@
     [[nodiscard]] std::size_t account_count() const { return this->accounts.size(); }
     /// Streams granted and not expired, over all hosts.
     [[nodiscard]] std::uint32_t granted_streams(const client_account_id& account, time_point now) const;
-    /// Forgets accounts that nobody holds a share of.
+    /// Removes accounts without leases.
     void drop_unused(time_point now);
 
 private:
--- a/src/libs/fleet/shareclient.cpp
+++ b/src/libs/fleet/shareclient.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Shares in use are renewed at half of their lease, so that one lost renewal costs nothing.
+/// Shares in use are renewed at half of their lease, so that one lost renewal has no effect.
 constexpr duration renew_interval = share_lease / 2;
-/// Requests that may wait for one home; more are refused at once.
+/// Requests that may wait for one allocator; more are refused at once.
 constexpr std::size_t max_waiting = 256;
-/// When streams are at their limit one ends soon; a caller may ask again after this.
+/// Retry delay at the stream limit, where a stream usually ends soon.
 constexpr duration streams_retry = std::chrono::seconds(1);
 
-/// Streams asked for beyond those that wait, so that a busy account doesn't ask for each request.
+/// Streams queried beyond the waiting ones, so that a busy account doesn't need a query for each request.
 std::uint32_t headroom(std::uint32_t in_use)
 {
     return in_use / 4;
@@ -89,7 +89,7 @@
     share.queried_count = share.waiting.size();
     const auto waiting = static_cast<std::uint32_t>(share.queried_count);
     const share_query question{this->self, {{name, share.in_use, waiting + headroom(share.in_use), waiting}}};
-    // The lease counts from the asking, so that it ends here before it ends at the home.
+    // The lease counts from the query, so that it ends here before it ends at the allocator.
     const time_point asked_at = this->hooks.timers.now();
     this->hooks.query_allocator(
         share.home, question,
@@ -111,7 +111,7 @@
     share.expires = asked_at + share_lease;
     const bool has_stream_limit = share.limits.streams != 0;
     std::uint32_t requests = grant.requests;
-    // Requests that came while the home was asked wait for the next question.
+    // Requests that arrived during the query wait for the next one.
     std::size_t answered = share.queried_count;
     while (answered > 0 && requests > 0 && (!has_stream_limit || share.in_use < share.granted)) {
         --requests;
--- a/src/libs/fleet/shareclient.h
+++ b/src/libs/fleet/shareclient.h
@@ -11,46 +11,46 @@
 
 namespace sailtiller {
 
-/// Why a request is not let in, and when to come again.
+/// Why a request is not admitted, and when to retry.
 struct share_refusal
 {
     std::string code; ///< "too_many_streams" or "too_many_requests"
     duration retry_after{};
 };
 
-/// What a holder needs from outside.
+/// Dependencies of a share client.
 struct share_hooks
 {
     timer_hooks timers;
-    /// The hosts that are live by the platform's list, this one included.
+    /// Returns the hosts that are live by the platform's list, this one included.
     std::function<std::vector<host_id>()> live_hosts;
-    /// Asks a home, which may be this host itself; exactly one callback runs, after the hook has returned.
+    /// Queries an allocator, possibly this host; exactly one callback runs, after the hook has returned.
     std::function<void(const host_id& home, const share_query& question,
         std::function<void(const std::vector<share_grant>&)> on_grants, std::function<void()> on_failure)>
         query_allocator;
 };
 
-/// A host's shares of the accounts' limits. A request is let in against a share that is at hand, or waits for
-/// the account's home to answer. If the home can't be asked, a small share of the limit is used without it:
-/// the limit divided by the live hosts, at least one, so the fleet exceeds a limit by a bounded number.
+/// A host's shares of the accounts' limits. A request is admitted against a share held by this host, or waits
+/// for the answer of the account's allocator. If the allocator is unreachable, the host uses the limit
+/// divided by the number of live hosts, at least one, so that the fleet exceeds a limit by a bounded number.
 class share_client
 {
 public:
-    /// Empty: the request is let in, and `finish` must be called when it ends.
+    /// Empty: the request is admitted, and `finish` must be called when it ends.
     using decision_handler = std::function<void(const std::optional<share_refusal>&)>;
 
     share_client(host_id self, share_hooks hooks);
 
     void start();
-    /// Decides at once, or after the home has answered.
+    /// Decides at once, or after the allocator's answer.
     void admit(const client_account& account, decision_handler on_decision);
-    /// A request that was let in has ended.
+    /// Records the end of an admitted request.
     void finish(const client_account_id& account);
-    /// The list of live hosts has changed: shares in use are told to homes that are new.
+    /// Reports shares in use to new allocators after a change of the live hosts.
     void note_hosts_changed();
     [[nodiscard]] std::uint32_t streams_in_use(const client_account_id& account) const;
     [[nodiscard]] std::size_t account_count() const { return this->accounts.size(); }
-    /// Requests let in without their home's word.
+    /// Number of requests admitted without an answer of the allocator.
     [[nodiscard]] std::uint64_t admitted_locally() const { return this->alone; }
 
 private:
@@ -62,7 +62,8 @@
         time_point expires{};
         std::deque<decision_handler> waiting;
         bool is_query_pending = false;
-        std::size_t queried_count = 0; ///< of those waiting, the first so many stand in the question
+        std::size_t queried_count =
+            0; ///< number of waiting requests, from the first, that the pending query covers
         host_id home;
         std::uint32_t local_requests = 0; ///< let in without the home since `local_window_start`
         time_point local_window_start{};
--- a/src/libs/fleet/sharemessages.h
+++ b/src/libs/fleet/sharemessages.h
@@ -8,27 +8,26 @@
 
 namespace sailtiller {
 
-/// The question by which a host asks an account's home for a share of its limits, as the method of a peer
-/// stream.
+/// Method of the peer stream by which a host queries an account's allocator for a share of its limits.
 constexpr const char* share_query_method = "shares";
 
-/// What a host uses and wants of one account's limits.
+/// Use of and demand for one account's limits by a host.
 struct share_demand
 {
     client_account_id account;
     std::uint32_t streams_in_use = 0;
-    std::uint32_t streams_wanted = 0; ///< besides those in use
-    std::uint32_t requests_wanted = 0; ///< that wait to start now
+    std::uint32_t streams_wanted = 0; ///< in addition to those in use
+    std::uint32_t requests_wanted = 0; ///< that wait to start
 };
 
-/// One host's demands to one home.
+/// Demands of one host to one allocator.
 struct share_query
 {
     host_id holder;
     std::vector<share_demand> demands;
 };
 
-/// What the home grants; streams are valid for one lease, requests may start at once.
+/// Grant of the allocator; streams are valid for one lease, requests may start at once.
 struct share_grant
 {
     client_account_id account;
@@ -36,7 +35,7 @@
     std::uint32_t requests = 0;
 };
 
-/// All four are CBOR; the readers throw `error` if the bytes have not the shape.
+/// All messages are CBOR; the decoders throw `error` if the bytes are malformed.
 std::string encode_share_query(const share_query& question);
 share_query decode_share_query(const std::string& bytes);
 std::string encode_share_grants(const std::vector<share_grant>& grants);
--- a/src/libs/fleet/upstreamlimits.cpp
+++ b/src/libs/fleet/upstreamlimits.cpp
@@ -28,7 +28,7 @@
     if (is_new && (!statement.requests_per_second || this->records.size() >= this->settings.most_records)) {
         return;
     }
-    // An age beyond all that is remembered would only overflow.
+    // Clamps ages beyond the retention, which would overflow.
     const time_point stated = now - std::min(statement.age, this->settings.ended_retention);
     record& item = is_new ? this->records[statement.upstream] : found->second;
     if (!is_new && stated < item.stated) {
--- a/src/libs/fleet/upstreamlimits.h
+++ b/src/libs/fleet/upstreamlimits.h
@@ -11,32 +11,31 @@
 
 namespace sailtiller {
 
-/// What one answer of an upstream said of the requests that it takes from all hosts together.
+/// The limit that an upstream's answer named for requests of all hosts together.
 struct limit_statement
 {
     upstream_id upstream;
-    std::optional<double> requests_per_second; ///< nothing: it names no limit
+    std::optional<double> requests_per_second; ///< nothing: no limit
     duration age{}; ///< since the answer came
 };
 
-/// Bounds of what a host remembers.
+/// Bounds of the records.
 struct upstream_limits_settings
 {
-    /// At most so many upstreams; 3,000 engines are the most that a site is designed for.
+    /// Maximum number of upstreams; a site is designed for at most 3,000 engines.
     std::size_t most_records = 4096;
-    /// That an upstream names no limit any more is remembered for so long, as it outweighs what others have
-    /// yet to hear.
+    /// Retention of the end of a limit, which overrides older statements that may still arrive.
     duration ended_retention = std::chrono::seconds(60);
     /// Statements in one report, the latest changes; 1.5 kB.
     std::size_t max_per_report = 32;
 };
 
-/// The limits that upstreams name, as far as this host knows by itself and from the others. Of two statements
-/// on one upstream the younger one counts.
+/// The limits that upstreams name, from their answers to this host and from the reports of others. Of two
+/// statements on one upstream the younger one is used.
 class upstream_limits
 {
 public:
-    /// Told when a limit is named, changes or ends.
+    /// Called when a limit is first named, changes or ends.
     using change_handler = std::function<void(const limit_statement&)>;
 
     explicit upstream_limits(upstream_limits_settings settings = {}, change_handler on_change = nullptr)
@@ -51,13 +50,13 @@
     [[nodiscard]] std::size_t record_count() const { return this->records.size(); }
     /// Requests a second that the upstream takes from all hosts; nothing if it names no limit.
     [[nodiscard]] std::optional<double> limit_of(const upstream_id& id) const;
-    /// What is known of it, with its age; nothing said counts as no limit, as old as can be.
+    /// Returns the latest statement with its age; without one, no limit with the maximum age.
     [[nodiscard]] limit_statement statement_of(const upstream_id& id, time_point now) const;
-    /// An answer of the upstream, or another host, said this.
+    /// Merges a statement from the upstream's answer or from another host.
     void take(const limit_statement& statement, time_point now);
-    /// What the next report tells.
+    /// Returns the statements for the next report.
     [[nodiscard]] std::vector<limit_statement> list_updates(time_point now) const;
-    /// Forgets upstreams that are gone, and limits that ended long ago.
+    /// Removes unknown upstreams, and limits that ended longer ago than the retention.
     void forget(const std::function<bool(const upstream_id&)>& is_known, time_point now);
 
 private:
--- a/tests/auto/fleet/tst_bundlefollower.cpp
+++ b/tests/auto/fleet/tst_bundlefollower.cpp
@@ -108,7 +108,7 @@
     fake_log log{this->timers, [this] { return this->now; }};
     sample_operator anna{"anna"};
     trust_settings trust = tests::trust_in({&this->anna});
-    activation_fold reference{this->trust}; ///< what an undisturbed reader of the whole log knows
+    activation_fold reference{this->trust}; ///< state of an undisturbed reader of the whole log
     std::vector<host_id> names;
     std::vector<std::unique_ptr<test_host>> hosts;
 };
@@ -183,7 +183,7 @@
     const std::size_t carried = this->log.appends() - records;
     EXPECT_GE(carried, records) << "every record was carried";
     EXPECT_LE(carried, 2 * records) << "and few of them by more than one host";
-    // All that was there at first may now expire: a fresh host still finds what is in force.
+    // The original records may now expire: a fresh host still finds the bundle in force.
     this->log.expire(carried);
     test_host& fresh = this->add_host("fresh");
     fresh.follower.start();
--- a/tests/auto/fleet/tst_bundleschedules.cpp
+++ b/tests/auto/fleet/tst_bundleschedules.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Random schedules of racing operators, hosts, peers, expiry and restarts over the fold of activations. The
-// number of schedules and the seed come from RC_PARAMS; scripts/schedules.sh runs a hundred thousand.
+// Random schedules of concurrent operators, hosts, peers, expiry and restarts for the fold of activations.
+// The number of schedules and the seed come from RC_PARAMS; scripts/schedules.sh runs a hundred thousand.
 #include <bundle/activationfold.h>
 #include <support/sampleactivation.h>
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What is truly in force after all records before the offset.
+    /// The activation in force after all records before the offset.
     [[nodiscard]] const std::string& state_at(log_offset offset) const
     {
         return this->states[offset.value()];
@@ -141,7 +141,7 @@
         case 6: // the host restarts and remembers nothing
             host = participant(this->people.trust);
             break;
-        case 7: // the carrier appends its state, or pauses before it does
+        case 7: // a host renews its state, or pauses before it does
             if (const std::optional<activation_snapshot> state = host.fold.snapshot()) {
                 host.delayed = *state;
             }
@@ -211,7 +211,8 @@
         this->check_verdict(item);
     }
 
-    /// Nobody is told another verdict than the truth, so one told as accepted is accepted everywhere.
+    /// Every reported verdict equals that of the whole log, so an activation reported as accepted is accepted
+    /// everywhere.
     void check_verdict(const participant& item) const
     {
         for (const activation_id& id : this->made) {
--- a/tests/auto/fleet/tst_crashsuspects.cpp
+++ b/tests/auto/fleet/tst_crashsuspects.cpp
@@ -30,7 +30,7 @@
 
     send_decision judge(crash_suspects& host) { return host.assess(this->content, this->now).decision; }
 
-    /// Both tell each other what they know.
+    /// Exchanges the records of both hosts.
     void exchange(crash_suspects& left, crash_suspects& right) const
     {
         right.handle_updates(left.list_updates(this->now), this->now);
@@ -46,7 +46,7 @@
     crash_suspects host;
     EXPECT_TRUE(host.is_empty());
     this->crash(host, 1, 2);
-    this->crash(host, 1, 2); // the same two, told again
+    this->crash(host, 1, 2); // the same two, reported again
     EXPECT_EQ(this->judge(host), send_decision::free);
     this->crash(host, 3, 1);
     EXPECT_EQ(this->judge(host), send_decision::trial);
@@ -101,7 +101,7 @@
     first.note_trials(this->content, {1, 0}, this->now);
     first.note_completed(this->content, this->now);
     EXPECT_EQ(this->judge(first), send_decision::free);
-    this->exchange(second, first); // what the other has yet to hear doesn't come back
+    this->exchange(second, first); // the other host's older records don't undo the clearance
     EXPECT_EQ(this->judge(first), send_decision::free);
     EXPECT_EQ(this->judge(second), send_decision::free);
     this->crash(second, 4, 3);
@@ -182,14 +182,13 @@
     EXPECT_EQ(record.age, duration(20ms));
 }
 
-/// Hosts that exchange reports in pairs drawn anew, each with eight others in a quarter of a second, of which
-/// one in ten messages is lost.
+/// Hosts exchange reports with eight random others every quarter of a second; one in ten messages is lost.
 TEST_F(crash_suspects_test, four_hundred_hosts_know_a_suspect_request_within_the_time_that_they_have)
 {
     constexpr std::size_t host_count = 400;
     constexpr std::size_t asked = 8;
     constexpr duration round = 250ms;
-    /// By the users' sheets: 3 s for nine hosts, 5 s for three hundred.
+    /// Required: 3 s for nine hosts, 5 s for three hundred.
     constexpr duration contact_time = 3s;
     const random_function random = make_seeded_random(7);
     std::vector<crash_suspects> hosts(host_count);
--- a/tests/auto/fleet/tst_hosttable.cpp
+++ b/tests/auto/fleet/tst_hosttable.cpp
@@ -263,8 +263,8 @@
     EXPECT_THROW(decode_peer_report(""), error);
 }
 
-/// A fleet of that many hosts in five halls, each with a table of its own, that ask and answer under a paused
-/// clock.
+/// A fleet of hosts in five halls, each with its own table, that exchange queries and answers under a
+/// simulated clock.
 struct large_fleet
 {
     explicit large_fleet(std::size_t count)
@@ -334,7 +334,7 @@
 
     [[nodiscard]] bool is_alive(const host_id& id) const { return this->dead.count(id) == 0; }
 
-    /// The living hosts of which that is true.
+    /// Returns the live hosts that meet the condition.
     [[nodiscard]] std::set<host_id> list_if(const std::function<bool(const host_table&)>& is_true) const
     {
         std::set<host_id> found;
@@ -357,7 +357,7 @@
         return this->list_if([this](const host_table& table) { return table.is_reader(true, this->now); });
     }
 
-    /// How long until all living hosts believe in just the living ones; at most ten seconds.
+    /// Time until all live hosts list exactly the live ones; at most ten seconds.
     duration measure_knowledge()
     {
         const std::size_t alive = this->hosts.size() - this->dead.size();
@@ -374,14 +374,14 @@
     std::vector<known_host> hosts;
     std::map<host_id, host_table> tables;
     std::set<host_id> dead;
-    std::set<host_id> cut; ///< hear each other and none of the rest
-    std::map<host_id, std::set<host_id>> partners; ///< whom each has asked
+    std::set<host_id> cut; ///< hosts that reach each other only
+    std::map<host_id, std::set<host_id>> partners; ///< hosts that each has queried
 };
 
-/// A change of who is there is known to all within this.
+/// Time within which all hosts know a change of the membership.
 constexpr duration knowledge_limit = 3s;
 
-/// Each test has a fleet of that many hosts as it is six seconds after the start of all.
+/// Each test starts with a fleet six seconds after the start of all hosts.
 class large_fleet_test : public testing::TestWithParam<std::size_t>
 {
 protected:
@@ -409,7 +409,8 @@
     EXPECT_EQ(this->fleet.list_candidates().size(), 3U);
 }
 
-// The hosts heard each other in turns that grew with the fleet: 986 of them missed both readers after 61 s.
+// Guards against detection time that grows with the fleet: with turns over all hosts, 986 hosts detected the
+// loss of both readers after 61 s.
 TEST_P(large_fleet_test, others_read_the_store_when_all_readers_are_lost_at_once)
 {
     this->fleet.dead = this->fleet.list_readers();
@@ -456,7 +457,7 @@
     EXPECT_LE(this->fleet.measure_knowledge(), knowledge_limit);
 }
 
-// The retry slack was split over the hosts heard within ten seconds: 535 of 986.
+// Guards against splitting the retry slack over the recently heard hosts only (535 of 986).
 TEST_P(large_fleet_test, all_hosts_count_among_those_that_share_allowances)
 {
     for (const known_host& host : this->fleet.hosts) {
@@ -464,7 +465,7 @@
     }
 }
 
-// Each host kept a connection to each other one.
+// Guards against a connection from each host to every other one.
 TEST_P(large_fleet_test, a_host_asks_few_others)
 {
     this->fleet.run_for(4s);
@@ -493,7 +494,7 @@
     EXPECT_NEAR(sums.at(upstream_id("u")).requests, left, left / 5.0);
 }
 
-/// Sizes from the environment, for a run by hand, or those that suit every run.
+/// Sizes from the environment for manual runs, or the default sizes.
 std::vector<std::size_t> fleet_sizes()
 {
     const char* given = std::getenv("SAILTILLER_FLEET_SIZES");
--- a/tests/auto/fleet/tst_limitsharing.cpp
+++ b/tests/auto/fleet/tst_limitsharing.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// An upstream that names a limit before fleets of many sizes, in series of faults under a paused clock: hosts
-// are killed, freeze, start and join, messages between them are late or lost, hosts know each other late.
+// An upstream with a limit and fleets of several sizes, in series of faults under a simulated clock: hosts
+// are killed, freeze, start and join, messages are delayed or lost, membership changes are known late.
 //
-// Whatever happens, the upstream gets in any four seconds no more than one and a half times what its limit
-// allows, and five, from hosts that know of it, by its own word or another
-// host's; and it gets most of what it names while callers want more.
+// In any four seconds the upstream gets at most one and a half times its limit, plus five requests, from
+// hosts that know the limit from its answers or from other hosts; and it gets most of the limit while callers
+// demand more.
 #include <fleet/limitallocator.h>
 #include <fleet/limitclient.h>
 
@@ -32,7 +32,7 @@
 
 const upstream_id limited("e1");
 
-/// What one series is played with.
+/// Parameters of one series.
 struct series
 {
     std::size_t hosts = 9;
@@ -161,7 +161,7 @@
             });
         };
         if (!home.is_up) {
-            later(2ms, on_failure); // its port is closed
+            later(2ms, on_failure); // connection refused
         } else if (!this->runs(home) || this->is_lost()) {
             later(answer_limit, on_failure);
         } else {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Reports to a few others, again and again.
+    /// Reports to a few others periodically.
     void tell(host& item)
     {
         for (std::size_t turn = 0; turn < peers_asked && this->runs(item); ++turn) {
@@ -248,13 +248,14 @@
         constexpr std::uint64_t parts = 1'000'000;
         this->due += chance;
         while (this->due > 0) {
-            // Now one, now two or none, so that requests come unevenly.
+            // Zero to two at a time, so that requests arrive unevenly.
             this->due -= 2 * static_cast<double>(this->random() % parts) / static_cast<double>(parts);
             this->send(*this->hosts[this->random() % this->hosts.size()]);
         }
     }
 
-    /// A request waits a moment for what its host has asked for; if the limit is used up, it goes elsewhere.
+    /// A request waits briefly for the grant that its host has queried; if the limit is exhausted, it goes
+    /// elsewhere.
     void send(host& item, unsigned tries = 0)
     {
         if (!this->runs(item)) {
@@ -267,7 +268,8 @@
             }
             return;
         }
-        // By the users' sheets only hosts count that the upstream itself has told half a second before.
+        // By the requirements only those hosts count that the upstream has told its limit half a second
+        // before.
         const bool knows = item.limits.limit_of(limited).has_value();
         const bool counts = this->named && this->now >= *this->named + limit_contact_time && knows;
         if (counts && this->now >= item.excused_until) {
@@ -293,7 +295,7 @@
     std::size_t asked = 0;
 };
 
-/// Questions between hosts, a second: some for each request that is granted, and one of each host at times.
+/// Queries between hosts per second: some for each granted request, and an occasional one from each host.
 double max_queries(std::size_t hosts, double limit)
 {
     const limit_allocator_settings settings;
--- a/tests/auto/fleet/tst_shares.cpp
+++ b/tests/auto/fleet/tst_shares.cpp
@@ -13,14 +13,14 @@
 
 constexpr duration network_delay = 1ms;
 
-/// Hosts that share out one account's limits, each a home and a holder, on the test's clock.
+/// Hosts that share one account's limits, each an allocator and a client, on a simulated clock.
 class shares_test : public testing::Test
 {
 protected:
     struct test_host
     {
         host_id name;
-        std::vector<host_id> listed; ///< what this host takes for the live hosts
+        std::vector<host_id> listed; ///< live hosts as known to this host
         std::unique_ptr<share_allocator> home;
         std::unique_ptr<share_client> holder;
         bool is_dead = false;
--- a/tests/auto/fleet/tst_upstreamlimits.cpp
+++ b/tests/auto/fleet/tst_upstreamlimits.cpp
@@ -42,7 +42,7 @@
 TEST_F(upstream_limits_test, the_younger_of_two_statements_counts)
 {
     this->take("e1", 4.5);
-    // The answer was under way for longer.
+    // The answer was delayed.
     this->take("e1", std::nullopt, 200ms);
     EXPECT_EQ(this->limit("e1"), 4.5);
     this->now += 1s;
