--- a/tests/auto/fleet/tst_bundlefollower.cpp
+++ b/tests/auto/fleet/tst_bundlefollower.cpp
@@ -145,7 +145,7 @@
     EXPECT_EQ(host.generations.back(), 3U) << "a later sound bundle takes force";
 }
 
-TEST_F(bundle_follower_test, malformed_records_are_told_and_passed_over)
+TEST_F(bundle_follower_test, malformed_records_are_reported_and_skipped)
 {
     test_host& host = this->add_host("a");
     host.follower.start();
@@ -172,7 +172,7 @@
     EXPECT_EQ(host.generations.back(), 2U);
 }
 
-TEST_F(bundle_follower_test, what_is_in_force_is_carried_forward_by_few_appends)
+TEST_F(bundle_follower_test, bundle_in_force_is_renewed_by_few_appends)
 {
     for (int index = 0; index < 20; ++index) {
         this->add_host("host-" + std::to_string(index)).follower.start();
--- a/tests/auto/fleet/tst_crashsuspects.cpp
+++ b/tests/auto/fleet/tst_crashsuspects.cpp
@@ -41,7 +41,7 @@
     request_content content{"c"};
 };
 
-TEST_F(crash_suspects_test, a_request_is_free_until_three_starts_have_ended_under_it)
+TEST_F(crash_suspects_test, a_request_is_free_until_three_starts_have_crashed_under_it)
 {
     crash_suspects host;
     EXPECT_TRUE(host.is_empty());
@@ -54,7 +54,7 @@
     EXPECT_EQ(host.suspect_count(), 1U);
 }
 
-TEST_F(crash_suspects_test, ends_that_different_hosts_saw_add_up_in_any_order)
+TEST_F(crash_suspects_test, crashes_seen_by_different_hosts_add_up_in_any_order)
 {
     crash_suspects first;
     crash_suspects second;
@@ -123,7 +123,7 @@
     EXPECT_EQ(this->judge(second), send_decision::free);
 }
 
-TEST_F(crash_suspects_test, a_success_of_a_request_that_nothing_is_known_of_leaves_no_trace)
+TEST_F(crash_suspects_test, success_of_an_unknown_request_is_not_recorded)
 {
     crash_suspects host;
     host.note_completed(this->content, this->now);
--- a/tests/auto/fleet/tst_hosttable.cpp
+++ b/tests/auto/fleet/tst_hosttable.cpp
@@ -78,7 +78,7 @@
     EXPECT_FALSE(this->table.is_reader(true, this->now)) << "two others come first";
 }
 
-TEST_F(host_table_test, a_reader_of_a_small_fleet_is_missed_soon)
+TEST_F(host_table_test, loss_of_a_reader_of_a_small_fleet_is_detected_soon)
 {
     this->table.record_report(make_report(make_host("a1")), this->now);
     this->table.record_report(make_report(make_host("a2")), this->now);
@@ -109,7 +109,7 @@
     EXPECT_TRUE(this->table.sum_work(this->now + 2s).empty());
 }
 
-TEST_F(host_table_test, a_host_with_a_record_is_unheard_until_it_speaks_or_stays_silent)
+TEST_F(host_table_test, a_host_with_a_record_is_pending_until_it_reports_or_times_out)
 {
     this->table.add(make_host("a"), this->now);
     this->table.add(make_host("c"), this->now);
@@ -142,7 +142,7 @@
     EXPECT_EQ(this->table.select_hosts_to_query(this->now + 500ms).size(), 2U);
 }
 
-TEST_F(host_table_test, a_gone_host_is_asked_now_and_then_and_forgotten_at_last)
+TEST_F(host_table_test, a_host_that_is_down_is_queried_rarely_and_removed_after_the_timeout)
 {
     this->table.record_report(make_report(make_host("a")), this->now);
     EXPECT_EQ(this->table.select_hosts_to_query(this->now + 2s).size(), 1U);
@@ -181,14 +181,14 @@
     EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 1U);
 }
 
-TEST_F(host_table_test, its_own_word_goes_before_what_others_tell)
+TEST_F(host_table_test, own_report_takes_precedence_over_reports_of_others)
 {
     this->table.record_report(make_report(make_host("a", "new")), this->now);
     this->table.add(make_host("a", "old"), this->now);
     EXPECT_EQ(this->table.live_hosts(this->now)[0].data_hall.value(), "new");
 }
 
-TEST(peer_report, survives_the_way_there)
+TEST(peer_report, decodes_to_the_encoded_report)
 {
     peer_report report = make_report(make_host("a"));
     report.is_leaving = true;
@@ -443,7 +443,7 @@
     EXPECT_LE(this->fleet.measure_knowledge(), knowledge_limit);
 }
 
-TEST_P(large_fleet_test, halves_that_were_apart_find_each_other)
+TEST_P(large_fleet_test, partitioned_halves_rejoin)
 {
     for (const known_host& host : this->fleet.hosts) {
         if (host.data_hall <= data_hall_id("hall-1")) {
@@ -466,7 +466,7 @@
 }
 
 // Guards against a connection from each host to every other one.
-TEST_P(large_fleet_test, a_host_asks_few_others)
+TEST_P(large_fleet_test, a_host_queries_few_others)
 {
     this->fleet.run_for(4s);
     for (const auto& [id, asked] : this->fleet.partners) {
@@ -474,7 +474,7 @@
     }
 }
 
-TEST_P(large_fleet_test, work_of_hosts_whose_turn_has_not_come_is_reckoned_in)
+TEST_P(large_fleet_test, work_of_hosts_whose_turn_has_not_come_is_estimated)
 {
     const auto others = static_cast<unsigned>(2 * (GetParam() - 1));
     for (const known_host& host : this->fleet.hosts) {
@@ -483,7 +483,7 @@
     }
 }
 
-TEST_P(large_fleet_test, work_of_lost_hosts_is_not_reckoned_in_for_long)
+TEST_P(large_fleet_test, work_of_lost_hosts_is_soon_left_out)
 {
     for (std::size_t number = 0; number < GetParam() / 2; ++number) {
         this->fleet.dead.insert(this->fleet.hosts[number].id);
--- a/tests/auto/fleet/tst_limits.cpp
+++ b/tests/auto/fleet/tst_limits.cpp
@@ -79,7 +79,7 @@
     EXPECT_EQ(granted, 5U) << "its answer tells whether the limit has ended";
 }
 
-TEST_F(limit_home_test, the_younger_word_on_a_limit_goes_both_ways)
+TEST_F(limit_home_test, the_younger_statement_of_a_limit_is_used_by_both_sides)
 {
     this->now += 1s;
     const limit_query ended{host_id("a"), 1h, {limited, std::nullopt, duration::zero()}, 1};
@@ -196,7 +196,7 @@
     EXPECT_FALSE(this->take());
 }
 
-TEST_F(limit_holder_test, a_host_that_leaves_three_questions_unanswered_is_passed_over_for_a_second)
+TEST_F(limit_holder_test, a_host_that_leaves_three_queries_unanswered_is_skipped_for_a_second)
 {
     this->take();
     const host_id first = this->questions.back().home;
@@ -216,7 +216,7 @@
     EXPECT_EQ(this->questions.back().home, second) << "it has not answered since";
 }
 
-TEST_F(limit_holder_test, a_host_that_shares_nothing_out_is_passed_over_at_once)
+TEST_F(limit_holder_test, a_host_that_grants_nothing_is_skipped_at_once)
 {
     this->take();
     const host_id first = this->questions.back().home;
--- a/tests/auto/fleet/tst_renewalschedule.cpp
+++ b/tests/auto/fleet/tst_renewalschedule.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST_F(renewal_schedule_test, the_first_rank_carries_at_a_third_of_the_retention)
+TEST_F(renewal_schedule_test, the_first_rank_renews_at_a_third_of_the_retention)
 {
     this->first.note_seen("record", time_point());
     this->second.note_seen("record", time_point());
@@ -35,7 +35,7 @@
     EXPECT_EQ(this->due(this->second, 30s), 0U);
 }
 
-TEST_F(renewal_schedule_test, the_next_rank_stands_in_for_one_that_is_gone)
+TEST_F(renewal_schedule_test, the_next_rank_takes_over_from_a_host_that_is_down)
 {
     this->second.note_seen("record", time_point());
     EXPECT_EQ(this->due(this->second, 32s), 1U);
@@ -57,7 +57,7 @@
     EXPECT_EQ(this->due(this->second, 102s), 1U);
 }
 
-TEST_F(renewal_schedule_test, no_more_is_carried_at_once_than_asked_for)
+TEST_F(renewal_schedule_test, no_more_records_are_due_at_once_than_requested)
 {
     for (int record = 0; record < 100; ++record) {
         this->first.note_seen(std::to_string(record), time_point());
--- a/tests/auto/fleet/tst_upstreamlimits.cpp
+++ b/tests/auto/fleet/tst_upstreamlimits.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(this->limit("e1"), 2);
 }
 
-TEST_F(upstream_limits_test, what_never_named_a_limit_leaves_no_trace)
+TEST_F(upstream_limits_test, upstreams_without_a_limit_are_not_recorded)
 {
     this->take("e1", std::nullopt);
     EXPECT_EQ(this->limits.record_count(), 0U);
--- a/tests/auto/site/tst_entryexchange.cpp
+++ b/tests/auto/site/tst_entryexchange.cpp
@@ -155,7 +155,7 @@
     EXPECT_FALSE(this->giver.give(log_offset(10)).has_value());
 }
 
-TEST(entry_question, survives_the_way_there)
+TEST(entry_question, decodes_to_the_encoded_report)
 {
     EXPECT_EQ(decode_entry_question(encode_entry_question(log_offset(7))), log_offset(7));
     EXPECT_FALSE(decode_entry_question(encode_entry_question(std::nullopt)).has_value());
