--- a/src/libs/fleet/bundlefollower.h
+++ b/src/libs/fleet/bundlefollower.h
@@ -21,16 +21,16 @@
     trust_settings trust;
     renewal_settings carrier;
     duration read_wait = std::chrono::seconds(5); ///< how long one read of the log may wait for a record
-    duration retry_pause = std::chrono::milliseconds(
-        500); ///< before the log is read again after a failure; doubled with each failure
+    /// Delay before the log is read again after a failure; doubled with each failure.
+    duration retry_pause = std::chrono::milliseconds(500);
     duration longest_retry_pause = std::chrono::seconds(8);
     /// How long a starting host waits for a peer's state before it reads the log from its beginning.
     duration first_peer_wait = std::chrono::milliseconds(500);
     duration peer_interval =
         std::chrono::seconds(2); ///< between queries to peers while the log is unavailable
     duration renewal_interval = std::chrono::seconds(5); ///< between checks for records to renew
-    std::size_t max_unpinned_bytes = 4U
-        << 20U; ///< bound of parts that are not in force; evicted ones can be fetched again
+    /// Size bound of the parts that are not in force; evicted ones can be fetched again.
+    std::size_t max_unpinned_bytes = 4U << 20U;
 };
 
 /// A bundle that is active on this host.
--- a/src/libs/fleet/hosttable.h
+++ b/src/libs/fleet/hosttable.h
@@ -178,8 +178,8 @@
     host_table_settings settings;
     membership members;
     std::map<host_id, entry> others; ///< partners, and hosts that were heard lately
-    std::optional<std::uint64_t>
-        partners_version; ///< version of the membership from which the partners were selected
+    /// Version of the membership from which the partners were selected.
+    std::optional<std::uint64_t> partners_version;
     host_id last_down_host_queried;
     time_point last_round{};
     time_point awake_since{}; ///< since when this host has run its rounds in time
--- a/src/libs/fleet/limitallocator.h
+++ b/src/libs/fleet/limitallocator.h
@@ -66,8 +66,8 @@
     upstream_limits& limits;
     limit_allocator_settings settings;
     std::map<upstream_id, bucket> buckets;
-    std::optional<time_point>
-        established_host_asked; ///< time of the last query of an established host while this host is new
+    /// Time of the last query of an established host while this host is new.
+    std::optional<time_point> established_host_asked;
 };
 
 } // namespace sailtiller
--- a/src/libs/fleet/peerreport.h
+++ b/src/libs/fleet/peerreport.h
@@ -32,8 +32,8 @@
     incarnation_number incarnation{1};
     bool is_leaving = false;
     bool reads_store = true; ///< reported only by reader candidates
-    std::vector<host_id>
-        unreachable_from; ///< some of the hosts whose queries it left unanswered in this state
+    /// Some of the hosts whose queries it left unanswered in this state.
+    std::vector<host_id> unreachable_from;
 };
 
 /// Work of one host's requests at an upstream.
@@ -95,8 +95,8 @@
     std::vector<upstream_work> work;
     std::vector<upstream_suspicion> suspicions;
     std::vector<upstream_suspicion> unwilling; ///< upstreams that refused the sender despite free capacity
-    std::vector<upstream_probe_result>
-        signs; ///< of upstreams that were dead or are slow; only the latest result
+    /// Of upstreams that were dead or are slow; only the latest result.
+    std::vector<upstream_probe_result> signs;
     std::vector<reported_layers>
         holdings; ///< that differ from the entries; only while the store is unavailable
     std::vector<upstream_id> leaving_upstreams; ///< that announced it in their answers, not by their entries
--- a/src/libs/fleet/shareclient.h
+++ b/src/libs/fleet/shareclient.h
@@ -62,8 +62,8 @@
         time_point expires{};
         std::deque<decision_handler> waiting;
         bool is_query_pending = false;
-        std::size_t queried_count =
-            0; ///< number of waiting requests, from the first, that the pending query covers
+        /// Number of waiting requests, from the first, that the pending query covers.
+        std::size_t queried_count = 0;
         host_id home;
         std::uint32_t local_requests = 0; ///< let in without the home since `local_window_start`
         time_point local_window_start{};
