--- a/src/app/sailtillerd/hostprocess.cpp
+++ b/src/app/sailtillerd/hostprocess.cpp
@@ -66,7 +66,7 @@
     follower_settings item;
     item.self = this->settings.self;
     item.trust = this->settings.trust;
-    item.carrier.retention = this->settings.log_retention;
+    item.renewal.retention = this->settings.log_retention;
     return item;
 }
 
--- a/src/libs/fleet/bundlefollower.cpp
+++ b/src/libs/fleet/bundlefollower.cpp
@@ -22,7 +22,7 @@
     , hooks(std::move(hooks))
     , activations(this->settings.trust)
     , store(this->settings.max_unpinned_bytes)
-    , duty(this->settings.carrier, this->settings.self)
+    , renewals(this->settings.renewal, this->settings.self)
 {
 }
 
@@ -105,9 +105,9 @@
         this->activations.read(entry.offset, record);
         if (const auto* part = std::get_if<bundle_part>(&record)) {
             this->store.add(part->body);
-            this->duty.note_seen(part->digest.value(), now);
+            this->renewals.note_seen(part->digest.value(), now);
         } else {
-            this->duty.note_seen(activation_record, now);
+            this->renewals.note_seen(activation_record, now);
             this->pin_accepted_parts();
         }
     } catch (const error& malformed) {
@@ -223,7 +223,7 @@
         this->store.add(body);
     }
     if (this->activations.adopt(state.snapshot)) {
-        this->duty.note_needed(activation_record, this->hooks.timers.now());
+        this->renewals.note_needed(activation_record, this->hooks.timers.now());
     }
     this->apply();
     if (this->is_running) {
@@ -292,7 +292,7 @@
         this->active_parts.push_back(source.manifest);
         this->store.keep(this->active_parts);
         for (const part_digest& digest : this->active_parts) {
-            this->duty.note_needed(digest.value(), this->hooks.timers.now());
+            this->renewals.note_needed(digest.value(), this->hooks.timers.now());
         }
         this->applied = std::move(next);
         this->refusal.clear();
@@ -321,7 +321,7 @@
 {
     if (this->is_log_reachable && this->activations.is_complete() && this->applied) {
         const std::vector<std::string> due =
-            this->duty.due(this->hooks.timers.now(), this->hooks.live_hosts(), max_renewals_per_round);
+            this->renewals.due(this->hooks.timers.now(), this->hooks.live_hosts(), max_renewals_per_round);
         for (const std::string& record : due) {
             this->carry(record);
         }
@@ -340,7 +340,7 @@
         data = encode_record(bundle_part{part_digest(record), *body});
     }
     if (data.empty()) {
-        this->duty.forget(record);
+        this->renewals.forget(record);
         return;
     }
     // If the answer is lost, the record stays due until it is read back; a second copy is harmless.
--- a/src/libs/fleet/bundlefollower.h
+++ b/src/libs/fleet/bundlefollower.h
@@ -19,7 +19,7 @@
 {
     host_id self;
     trust_settings trust;
-    renewal_settings carrier;
+    renewal_settings renewal;
     duration read_wait = std::chrono::seconds(5); ///< how long one read of the log may wait for a record
     /// Delay before the log is read again after a failure; doubled with each failure.
     duration retry_pause = std::chrono::milliseconds(500);
@@ -114,7 +114,7 @@
     activation_fold activations;
     part_store store;
     bundle_assembler assembler;
-    renewal_schedule duty;
+    renewal_schedule renewals;
     std::shared_ptr<const bundle_in_force> applied;
     std::vector<part_digest> active_parts; ///< of the bundle in force, its manifest included
     activation_id refused; ///< in force by the log, but not applicable on this host
--- a/tests/auto/fleet/tst_bundlefollower.cpp
+++ b/tests/auto/fleet/tst_bundlefollower.cpp
@@ -28,7 +28,7 @@
         follower_settings settings;
         settings.self = host_id(name);
         settings.trust = trust;
-        settings.carrier = {90s, 2s};
+        settings.renewal = {90s, 2s};
         settings.renewal_interval = 1s;
         settings.max_unpinned_bytes = 100'000;
         return settings;
