--- a/src/libs/fleet/peerreport.cpp
+++ b/src/libs/fleet/peerreport.cpp
@@ -31,7 +31,7 @@
 {
     json list = json::array();
     for (const upstream_work& item : report.work) {
-        // Whole numbers are shorter in CBOR, and a token is nothing here.
+        // Whole numbers are shorter in CBOR, and fractions of a token are negligible.
         list.push_back(
             json::array({item.id.value(), static_cast<std::uint64_t>(item.token_layers), item.requests}));
     }
@@ -50,7 +50,7 @@
 json write_signs(const peer_report& report)
 {
     json list = json::array();
-    for (const upstream_sign& item : report.signs) {
+    for (const upstream_probe_result& item : report.signs) {
         list.push_back(json::array({item.id.value(), item.pace, item.age.count()}));
     }
     return list;
@@ -59,7 +59,7 @@
 json write_holdings(const peer_report& report)
 {
     json list = json::array();
-    for (const engine_holding& item : report.holdings) {
+    for (const reported_layers& item : report.holdings) {
         list.push_back(json::array({item.id.value(), item.begin, item.end, item.age.count()}));
     }
     return list;
@@ -83,27 +83,27 @@
     return list;
 }
 
-json write_news(const std::vector<host_news>& news)
+json write_news(const std::vector<host_state>& news)
 {
     json list = json::array();
-    for (const host_news& item : news) {
+    for (const host_state& item : news) {
         list.push_back(json::array({write_host(item.host), item.incarnation.value(), item.is_leaving,
-            item.reads_store, write_ids(item.missed_by)}));
+            item.reads_store, write_ids(item.unreachable_from)}));
     }
     return list;
 }
 
-std::vector<host_news> read_news(const json& list)
+std::vector<host_state> read_news(const json& list)
 {
-    std::vector<host_news> news;
+    std::vector<host_state> news;
     for (const json& item : list) {
-        host_news state;
+        host_state state;
         state.host = read_host(item.at(0));
         state.incarnation = incarnation_number(item.at(1).get<std::uint64_t>());
         state.is_leaving = item.at(2).get<bool>();
         state.reads_store = item.at(3).get<bool>();
         for (const json& id : item.at(4)) {
-            state.missed_by.emplace_back(id.get<std::string>());
+            state.unreachable_from.emplace_back(id.get<std::string>());
         }
         news.push_back(std::move(state));
     }
@@ -166,7 +166,7 @@
             work.at(2).get<unsigned>()});
     }
     report.suspicions = read_suspicions(item.at("suspicions"));
-    // A host of an older release doesn't name any.
+    // Absent in reports of older releases.
     report.unwilling = read_suspicions(item.value("unwilling", json::array()));
     for (const json& sign : item.at("signs")) {
         report.signs.push_back({upstream_id(sign.at(0).get<std::string>()), sign.at(1).get<double>(),
@@ -178,7 +178,7 @@
                 holding.at(2).get<unsigned>(), duration(holding.at(3).get<duration::rep>())});
     }
     report.news = read_news(item.value("news", json::array()));
-    // Nor does it tell of requests under which upstreams end.
+    // The fields below are absent in reports of older releases.
     for (const json& crash : item.value("crashes", json::array())) {
         report.crashes.push_back(read_crash(crash));
     }
@@ -192,12 +192,12 @@
 
 } // namespace
 
-std::string encode_host_news(const std::vector<host_news>& news)
+std::string encode_host_news(const std::vector<host_state>& news)
 {
     return to_cbor(write_news(news));
 }
 
-std::vector<host_news> decode_host_news(const std::string& bytes)
+std::vector<host_state> decode_host_news(const std::string& bytes)
 {
     return decode_cbor("read states of hosts", bytes, [](const json& item) { return read_news(item); });
 }
@@ -216,7 +216,7 @@
         {"hosts_digest", report.hosts_digest}, {"news", write_news(report.news)},
         {"crashes", write_crashes(report)}, {"limits", write_limits(report)},
         {"leaving_upstreams", write_leaving(report)},
-        // A host of an older release reads no report without it.
+        // Required by older releases.
         {"hosts", json::array()}});
 }
 
@@ -231,10 +231,10 @@
         report.entries_offset = read_optional<std::uint64_t>(item.at("offset"));
         report.entries_age = read_age(item.at("entries_age"));
         report.store_disturbed_age = read_age(item.at("disturbed_age"));
-        // A host of an older release doesn't say; it is taken to read.
+        // Absent in reports of older releases, which count as reading the store.
         report.reads_store = item.value("reads_store", true);
         report.are_entries_whole = item.at("whole").get<bool>();
-        // Nor does it ask for changes by themselves.
+        // Older releases send no withheld offset.
         report.withheld_offset = read_optional<std::uint64_t>(item.value("withheld_offset", json()));
         report.wants_changes = item.value("wants_changes", true);
         report.incarnation = incarnation_number(item.value("incarnation", std::uint64_t{1}));
--- a/tests/auto/fleet/tst_bundlefollower.cpp
+++ b/tests/auto/fleet/tst_bundlefollower.cpp
@@ -28,9 +28,9 @@
         follower_settings settings;
         settings.self = host_id(name);
         settings.trust = trust;
-        settings.carrier = {90s, 2s};
-        settings.carry_interval = 1s;
-        settings.most_spare_bytes = 100'000;
+        settings.renewal = {90s, 2s};
+        settings.renewal_interval = 1s;
+        settings.max_unpinned_bytes = 100'000;
         return settings;
     }
 
@@ -108,7 +108,7 @@
     fake_log log{this->timers, [this] { return this->now; }};
     sample_operator anna{"anna"};
     trust_settings trust = tests::trust_in({&this->anna});
-    activation_fold reference{this->trust}; ///< what an undisturbed reader of the whole log knows
+    activation_fold reference{this->trust}; ///< state of an undisturbed reader of the whole log
     std::vector<host_id> names;
     std::vector<std::unique_ptr<test_host>> hosts;
 };
@@ -145,7 +145,7 @@
     EXPECT_EQ(host.generations.back(), 3U) << "a later sound bundle takes force";
 }
 
-TEST_F(bundle_follower_test, malformed_records_are_told_and_passed_over)
+TEST_F(bundle_follower_test, malformed_records_are_reported_and_skipped)
 {
     test_host& host = this->add_host("a");
     host.follower.start();
@@ -172,7 +172,7 @@
     EXPECT_EQ(host.generations.back(), 2U);
 }
 
-TEST_F(bundle_follower_test, what_is_in_force_is_carried_forward_by_few_appends)
+TEST_F(bundle_follower_test, bundle_in_force_is_renewed_by_few_appends)
 {
     for (int index = 0; index < 20; ++index) {
         this->add_host("host-" + std::to_string(index)).follower.start();
@@ -183,7 +183,7 @@
     const std::size_t carried = this->log.appends() - records;
     EXPECT_GE(carried, records) << "every record was carried";
     EXPECT_LE(carried, 2 * records) << "and few of them by more than one host";
-    // All that was there at first may now expire: a fresh host still finds what is in force.
+    // The original records may now expire: a fresh host still finds the bundle in force.
     this->log.expire(carried);
     test_host& fresh = this->add_host("fresh");
     fresh.follower.start();
@@ -201,7 +201,7 @@
     test_host& fresh = this->add_host("b");
     fresh.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            fresh.follower.take_peer_state(*state);
+            fresh.follower.handle_peer_state(*state);
         }
     };
     fresh.follower.start();
@@ -219,7 +219,7 @@
     test_host& fresh = this->add_host("b");
     fresh.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            fresh.follower.take_peer_state(decode_bundle_state(encode_bundle_state(*state)));
+            fresh.follower.handle_peer_state(decode_bundle_state(encode_bundle_state(*state)));
         }
     };
     this->log.lowest_read = end;
@@ -279,7 +279,7 @@
     this->log.expire(0);
     late.ask_peers = [&](const std::vector<part_digest>& missing) {
         if (const std::optional<peer_bundle_state> state = peer.follower.answer_peer(missing)) {
-            late.follower.take_peer_state(*state);
+            late.follower.handle_peer_state(*state);
         }
     };
     late.follower.start();
--- a/tests/auto/fleet/tst_hosttable.cpp
+++ b/tests/auto/fleet/tst_hosttable.cpp
@@ -41,7 +41,7 @@
 {
     this->table.add(make_host("a"), this->now);
     EXPECT_EQ(this->table.live_count(this->now), 1U) << "a record alone proves nothing";
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
     EXPECT_EQ(this->table.live_count(this->now + 1499ms), 2U);
     EXPECT_EQ(this->table.live_count(this->now + 1500ms), 1U);
 }
@@ -51,7 +51,7 @@
     peer_report report = make_report(make_host("a"));
     report.is_leaving = true;
     report.work.push_back({upstream_id("u"), 50, 2});
-    this->table.note_heard(report, this->now);
+    this->table.record_report(report, this->now);
     EXPECT_EQ(this->table.live_count(this->now), 1U);
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).requests, 2U);
 }
@@ -59,8 +59,8 @@
 TEST_F(host_table_test, ranks_follow_the_ids_of_the_live_hosts)
 {
     EXPECT_EQ(this->table.own_rank(this->now), 0U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    this->table.note_heard(make_report(make_host("c")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("c")), this->now);
     EXPECT_EQ(this->table.own_rank(this->now), 1U);
     EXPECT_EQ(this->table.own_rank(this->now + 2s), 0U);
 }
@@ -69,19 +69,19 @@
 {
     peer_report cut_off = make_report(make_host("a"));
     cut_off.reads_store = false;
-    this->table.note_heard(cut_off, this->now);
-    this->table.note_heard(make_report(make_host("a2")), this->now);
-    this->table.note_heard(make_report(make_host("c")), this->now);
+    this->table.record_report(cut_off, this->now);
+    this->table.record_report(make_report(make_host("a2")), this->now);
+    this->table.record_report(make_report(make_host("c")), this->now);
     EXPECT_TRUE(this->table.is_reader(true, this->now)) << "the second of those that are answered";
     EXPECT_FALSE(this->table.is_reader(false, this->now));
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    this->table.record_report(make_report(make_host("a")), this->now);
     EXPECT_FALSE(this->table.is_reader(true, this->now)) << "two others come first";
 }
 
-TEST_F(host_table_test, a_reader_of_a_small_fleet_is_missed_soon)
+TEST_F(host_table_test, loss_of_a_reader_of_a_small_fleet_is_detected_soon)
 {
-    this->table.note_heard(make_report(make_host("a1")), this->now);
-    this->table.note_heard(make_report(make_host("a2")), this->now);
+    this->table.record_report(make_report(make_host("a1")), this->now);
+    this->table.record_report(make_report(make_host("a2")), this->now);
     EXPECT_FALSE(this->table.is_reader(true, this->now + 1499ms));
     EXPECT_TRUE(this->table.is_reader(true, this->now + 1500ms));
 }
@@ -91,7 +91,7 @@
     for (const char* name : {"a", "c"}) {
         peer_report report = make_report(make_host(name));
         report.reads_store = false;
-        this->table.note_heard(report, this->now);
+        this->table.record_report(report, this->now);
     }
     EXPECT_TRUE(this->table.is_reader(false, this->now));
     EXPECT_TRUE(this->table.is_reader(true, this->now));
@@ -102,63 +102,63 @@
     for (const char* name : {"a", "c"}) {
         peer_report report = make_report(make_host(name));
         report.work.push_back({upstream_id("u"), 100, 3});
-        this->table.note_heard(report, this->now);
+        this->table.record_report(report, this->now);
     }
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).requests, 6U);
     EXPECT_EQ(this->table.sum_work(this->now).at(upstream_id("u")).token_layers, 200);
     EXPECT_TRUE(this->table.sum_work(this->now + 2s).empty());
 }
 
-TEST_F(host_table_test, a_host_with_a_record_is_unheard_until_it_speaks_or_stays_silent)
+TEST_F(host_table_test, a_host_with_a_record_is_pending_until_it_reports_or_times_out)
 {
     this->table.add(make_host("a"), this->now);
     this->table.add(make_host("c"), this->now);
-    EXPECT_EQ(this->table.unheard_count(this->now), 2U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    EXPECT_EQ(this->table.unheard_count(this->now), 1U);
-    EXPECT_EQ(this->table.unheard_count(this->now + 1500ms), 0U);
+    EXPECT_EQ(this->table.pending_host_count(this->now), 2U);
+    this->table.record_report(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.pending_host_count(this->now), 1U);
+    EXPECT_EQ(this->table.pending_host_count(this->now + 1500ms), 0U);
 }
 
 TEST_F(host_table_test, a_new_host_asks_all_live_ones_at_each_round)
 {
     this->table.note_start(this->now);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now).size(), 1U);
-    EXPECT_EQ(this->table.choose_asked(this->now + 100ms).size(), 1U);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now + 2s);
+    this->table.record_report(make_report(make_host("far", "y")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now).size(), 1U);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 100ms).size(), 1U);
+    this->table.record_report(make_report(make_host("far", "y")), this->now + 2s);
     EXPECT_FALSE(this->table.is_new(this->now + 2s));
-    EXPECT_EQ(this->table.choose_asked(this->now + 2s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 2250ms).empty());
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 2s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 2250ms).empty());
 }
 
 TEST_F(host_table_test, its_own_hall_is_asked_in_each_round_and_others_less_often)
 {
-    this->table.note_heard(make_report(make_host("near")), this->now);
-    this->table.note_heard(make_report(make_host("far", "y")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now).size(), 2U);
-    const std::vector<known_host> next = this->table.choose_asked(this->now + 250ms);
+    this->table.record_report(make_report(make_host("near")), this->now);
+    this->table.record_report(make_report(make_host("far", "y")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now).size(), 2U);
+    const std::vector<known_host> next = this->table.select_hosts_to_query(this->now + 250ms);
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(next[0].id.value(), "near");
-    EXPECT_EQ(this->table.choose_asked(this->now + 500ms).size(), 2U);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 500ms).size(), 2U);
 }
 
-TEST_F(host_table_test, a_gone_host_is_asked_now_and_then_and_forgotten_at_last)
+TEST_F(host_table_test, a_host_that_is_down_is_queried_rarely_and_removed_after_the_timeout)
 {
-    this->table.note_heard(make_report(make_host("a")), this->now);
-    EXPECT_EQ(this->table.choose_asked(this->now + 2s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 3s).empty());
-    EXPECT_EQ(this->table.choose_asked(this->now + 4s).size(), 1U);
-    EXPECT_TRUE(this->table.choose_asked(this->now + 61s).empty());
+    this->table.record_report(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 2s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 3s).empty());
+    EXPECT_EQ(this->table.select_hosts_to_query(this->now + 4s).size(), 1U);
+    EXPECT_TRUE(this->table.select_hosts_to_query(this->now + 61s).empty());
 }
 
 TEST_F(host_table_test, no_round_asks_more_than_the_bound)
 {
     for (int number = 0; number < 30; ++number) {
-        this->table.note_heard(make_report(make_host("h" + std::to_string(number))), this->now);
+        this->table.record_report(make_report(make_host("h" + std::to_string(number))), this->now);
     }
     std::set<host_id> asked;
     for (int round = 0; round < 4; ++round) {
-        const std::vector<known_host> chosen = this->table.choose_asked(this->now + round * 250ms);
+        const std::vector<known_host> chosen = this->table.select_hosts_to_query(this->now + round * 250ms);
         EXPECT_EQ(chosen.size(), 8U);
         for (const known_host& host : chosen) {
             asked.insert(host.id);
@@ -169,26 +169,26 @@
 
 TEST_F(host_table_test, hosts_that_fell_silent_lately_are_counted_among_those_heard_within_a_time)
 {
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 1U);
-    this->table.note_heard(make_report(make_host("a")), this->now);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 1U);
+    this->table.record_report(make_report(make_host("a")), this->now);
     peer_report leaving = make_report(make_host("c"));
     leaving.is_leaving = true;
-    this->table.note_heard(leaving, this->now);
+    this->table.record_report(leaving, this->now);
     this->now += 5s;
     EXPECT_EQ(this->table.live_count(this->now), 1U);
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 3U);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 3U);
     this->now += 5s;
-    EXPECT_EQ(this->table.heard_count(this->now, 10s), 1U);
+    EXPECT_EQ(this->table.recently_present_count(this->now, 10s), 1U);
 }
 
-TEST_F(host_table_test, its_own_word_goes_before_what_others_tell)
+TEST_F(host_table_test, own_report_takes_precedence_over_reports_of_others)
 {
-    this->table.note_heard(make_report(make_host("a", "new")), this->now);
+    this->table.record_report(make_report(make_host("a", "new")), this->now);
     this->table.add(make_host("a", "old"), this->now);
     EXPECT_EQ(this->table.live_hosts(this->now)[0].data_hall.value(), "new");
 }
 
-TEST(peer_report, survives_the_way_there)
+TEST(peer_report, decodes_to_the_encoded_report)
 {
     peer_report report = make_report(make_host("a"));
     report.is_leaving = true;
@@ -245,7 +245,7 @@
     EXPECT_EQ(read.news[0].incarnation, report.news[0].incarnation);
     EXPECT_TRUE(read.news[0].is_leaving);
     EXPECT_FALSE(read.news[0].reads_store);
-    EXPECT_EQ(read.news[0].missed_by, report.news[0].missed_by);
+    EXPECT_EQ(read.news[0].unreachable_from, report.news[0].unreachable_from);
 }
 
 TEST(peer_report, a_host_of_an_older_release_finds_all_that_it_requires)
@@ -263,8 +263,8 @@
     EXPECT_THROW(decode_peer_report(""), error);
 }
 
-/// A fleet of that many hosts in five halls, each with a table of its own, that ask and answer under a paused
-/// clock.
+/// A fleet of hosts in five halls, each with its own table, that exchange queries and answers under a
+/// simulated clock.
 struct large_fleet
 {
     explicit large_fleet(std::size_t count)
@@ -303,11 +303,11 @@
             return;
         }
         host_table& own = this->tables.at(asker.id);
-        this->tables.at(asked.id).note_heard(this->report_of(asker, asked.id), this->now);
+        this->tables.at(asked.id).record_report(this->report_of(asker, asked.id), this->now);
         const peer_report answer = this->report_of(asked, asker.id);
-        own.note_heard(answer, this->now);
+        own.record_report(answer, this->now);
         if (own.should_ask_for_all(answer, this->now)) {
-            own.take_all(this->tables.at(asked.id).list_states(), this->now);
+            own.merge_states(this->tables.at(asked.id).list_states(), this->now);
         }
     }
 
@@ -317,7 +317,7 @@
             if (this->dead.count(asker.id) != 0) {
                 continue;
             }
-            for (const known_host& asked : this->tables.at(asker.id).choose_asked(this->now)) {
+            for (const known_host& asked : this->tables.at(asker.id).select_hosts_to_query(this->now)) {
                 this->exchange(asker, asked);
             }
         }
@@ -334,7 +334,7 @@
 
     [[nodiscard]] bool is_alive(const host_id& id) const { return this->dead.count(id) == 0; }
 
-    /// The living hosts of which that is true.
+    /// Returns the live hosts that meet the condition.
     [[nodiscard]] std::set<host_id> list_if(const std::function<bool(const host_table&)>& is_true) const
     {
         std::set<host_id> found;
@@ -357,7 +357,7 @@
         return this->list_if([this](const host_table& table) { return table.is_reader(true, this->now); });
     }
 
-    /// How long until all living hosts believe in just the living ones; at most ten seconds.
+    /// Time until all live hosts list exactly the live ones; at most ten seconds.
     duration measure_knowledge()
     {
         const std::size_t alive = this->hosts.size() - this->dead.size();
@@ -374,14 +374,14 @@
     std::vector<known_host> hosts;
     std::map<host_id, host_table> tables;
     std::set<host_id> dead;
-    std::set<host_id> cut; ///< hear each other and none of the rest
-    std::map<host_id, std::set<host_id>> partners; ///< whom each has asked
+    std::set<host_id> cut; ///< hosts that reach each other only
+    std::map<host_id, std::set<host_id>> partners; ///< hosts that each has queried
 };
 
-/// A change of who is there is known to all within this.
+/// Time within which all hosts know a change of the membership.
 constexpr duration knowledge_limit = 3s;
 
-/// Each test has a fleet of that many hosts as it is six seconds after the start of all.
+/// Each test starts with a fleet six seconds after the start of all hosts.
 class large_fleet_test : public testing::TestWithParam<std::size_t>
 {
 protected:
@@ -409,7 +409,8 @@
     EXPECT_EQ(this->fleet.list_candidates().size(), 3U);
 }
 
-// The hosts heard each other in turns that grew with the fleet: 986 of them missed both readers after 61 s.
+// Guards against detection time that grows with the fleet: with turns over all hosts, 986 hosts detected the
+// loss of both readers after 61 s.
 TEST_P(large_fleet_test, others_read_the_store_when_all_readers_are_lost_at_once)
 {
     this->fleet.dead = this->fleet.list_readers();
@@ -442,7 +443,7 @@
     EXPECT_LE(this->fleet.measure_knowledge(), knowledge_limit);
 }
 
-TEST_P(large_fleet_test, halves_that_were_apart_find_each_other)
+TEST_P(large_fleet_test, partitioned_halves_rejoin)
 {
     for (const known_host& host : this->fleet.hosts) {
         if (host.data_hall <= data_hall_id("hall-1")) {
@@ -456,24 +457,24 @@
     EXPECT_LE(this->fleet.measure_knowledge(), knowledge_limit);
 }
 
-// The retry slack was split over the hosts heard within ten seconds: 535 of 986.
+// Guards against splitting the retry slack over the recently heard hosts only (535 of 986).
 TEST_P(large_fleet_test, all_hosts_count_among_those_that_share_allowances)
 {
     for (const known_host& host : this->fleet.hosts) {
-        EXPECT_EQ(this->fleet.tables.at(host.id).heard_count(this->fleet.now, 10s), GetParam());
+        EXPECT_EQ(this->fleet.tables.at(host.id).recently_present_count(this->fleet.now, 10s), GetParam());
     }
 }
 
-// Each host kept a connection to each other one.
-TEST_P(large_fleet_test, a_host_asks_few_others)
+// Guards against a connection from each host to every other one.
+TEST_P(large_fleet_test, a_host_queries_few_others)
 {
     this->fleet.run_for(4s);
     for (const auto& [id, asked] : this->fleet.partners) {
-        EXPECT_LE(asked.size(), host_table_settings().most_partners) << id;
+        EXPECT_LE(asked.size(), host_table_settings().max_partners) << id;
     }
 }
 
-TEST_P(large_fleet_test, work_of_hosts_whose_turn_has_not_come_is_reckoned_in)
+TEST_P(large_fleet_test, work_of_hosts_whose_turn_has_not_come_is_estimated)
 {
     const auto others = static_cast<unsigned>(2 * (GetParam() - 1));
     for (const known_host& host : this->fleet.hosts) {
@@ -482,7 +483,7 @@
     }
 }
 
-TEST_P(large_fleet_test, work_of_lost_hosts_is_not_reckoned_in_for_long)
+TEST_P(large_fleet_test, work_of_lost_hosts_is_soon_left_out)
 {
     for (std::size_t number = 0; number < GetParam() / 2; ++number) {
         this->fleet.dead.insert(this->fleet.hosts[number].id);
@@ -493,7 +494,7 @@
     EXPECT_NEAR(sums.at(upstream_id("u")).requests, left, left / 5.0);
 }
 
-/// Sizes from the environment, for a run by hand, or those that suit every run.
+/// Sizes from the environment for manual runs, or the default sizes.
 std::vector<std::size_t> fleet_sizes()
 {
     const char* given = std::getenv("SAILTILLER_FLEET_SIZES");
