--- a/src/app/sailtillerd/daemonsettings.h
+++ b/src/app/sailtillerd/daemonsettings.h
@@ -5,7 +5,7 @@
 #include <routing/retryallowance.h>
 #include <runtime/eventlog.h>
 #include <runtime/httpserver.h>
-#include <site/storereading.h>
+#include <site/storereadschedule.h>
 
 namespace sailtiller {
 
@@ -13,7 +13,7 @@
 struct store_settings
 {
     endpoint address;
-    store_reading_settings reading;
+    store_read_settings reading;
     retry_allowance_settings retries;
 };
 
--- a/src/app/sailtillerd/hostprocess.cpp
+++ b/src/app/sailtillerd/hostprocess.cpp
@@ -288,7 +288,7 @@
         return;
     }
     this->exit_code = is_idle ? exit_ok : exit_failed;
-    this->entry.log_cut_off();
+    this->entry.log_aborted_requests();
     log_event(log_level::info, event_type::stopped,
         {{"cut_off", std::to_string(this->entry.requests_in_flight())}});
     this->follower.stop();
--- a/src/app/sailtillerd/siteadmin.h
+++ b/src/app/sailtillerd/siteadmin.h
@@ -9,7 +9,7 @@
 #include <placement/layerorder.h>
 #include <runtime/httpexchange.h>
 #include <runtime/metrics.h>
-#include <site/siteknowledge.h>
+#include <site/sitestate.h>
 
 namespace sailtiller {
 
@@ -18,7 +18,7 @@
 {
     const host_id& self;
     const data_hall_id& data_hall;
-    const site_knowledge& knowledge;
+    const site_state& knowledge;
     const part_loads& loads;
     const host_table& hosts;
     const crash_suspects& suspects;
--- a/src/app/sailtillerd/sitehost.cpp
+++ b/src/app/sailtillerd/sitehost.cpp
@@ -50,7 +50,7 @@
     , random(make_system_random())
     , store(
           this->loop, this->client, {.address = this->settings.store->address}, platform::make_store_codec())
-    , knowledge(this->make_knowledge_settings(), this->make_knowledge_hooks())
+    , knowledge(this->make_knowledge_settings(), this->make_state_hooks())
     , reading(this->settings.store->reading)
     , suspects(
           this->loop, this->store, [this] { return this->reading.reads_store(); },
@@ -124,7 +124,7 @@
     hooks.on_replaced = [this](const upstream_id& id) { this->knowledge.note_ended(id); };
     hooks.on_leaving = [this](const upstream_id& id) { this->knowledge.note_leaving(id); };
     hooks.on_held = [this](const upstream_id& id, const layer_span& held) {
-        this->knowledge.note_held(id, held, this->loop.now());
+        this->knowledge.record_reported_layers(id, held, this->loop.now());
     };
     return hooks;
 }
@@ -156,16 +156,16 @@
     return hooks;
 }
 
-site_knowledge_settings site_host::make_knowledge_settings() const
+site_state_settings site_host::make_knowledge_settings() const
 {
-    site_knowledge_settings item;
+    site_state_settings item;
     item.revoke_limit = this->settings.store->reading.revoke_limit;
     return item;
 }
 
-site_knowledge_hooks site_host::make_knowledge_hooks()
+site_state_hooks site_host::make_state_hooks()
 {
-    site_knowledge_hooks hooks;
+    site_state_hooks hooks;
     hooks.now = [this] { return this->loop.now(); };
     hooks.decode_bundle = &platform::decode_site_bundle;
     hooks.decode_upstream = &platform::decode_upstream;
@@ -211,8 +211,8 @@
         this->limits.fill_report(report);
     };
     hooks.take_report = [this](const peer_report& report) {
-        this->bundles.note_holder(report.sender, report.bundle_version);
-        this->knowledge.take_leaving(report);
+        this->bundles.record_holder(report.sender, report.bundle_version);
+        this->knowledge.apply_leaving_notices(report);
         this->health.take_report(report);
         this->suspects.take_report(report);
         this->limits.take_report(report);
@@ -228,7 +228,7 @@
     hooks.take_answer = [this](const peer_report& answer, time_point asked) {
         this->knowledge.take_answer(answer, asked);
         if (answer.withheld_offset && !this->knowledge.upstreams_end()) {
-            this->reading.note_giver(this->loop.now());
+            this->reading.record_pending_transfer(this->loop.now());
         }
         this->entries.note_answer(answer);
         if (this->knowledge.upstreams_end()) {
@@ -252,7 +252,7 @@
         this->peers.ask_bundle(holder, on_answer);
     };
     hooks.take = [this](const known_host& holder, const std::string& text) {
-        this->knowledge.take_bundle_text(text, {holder.id});
+        this->knowledge.apply_bundle_text(text, {holder.id});
     };
     hooks.on_malformed = [](const known_host& holder, const std::string& reason) {
         log_event(log_level::warning, event_type::peer_answer_malformed,
@@ -269,7 +269,7 @@
                     const std::function<void(const std::optional<std::string>&)>& on_answer) {
         this->peers.ask_entries(holder, known, on_answer);
     };
-    hooks.on_taken = [this](log_offset end) { this->upstream_follower.skip_to(end); };
+    hooks.on_applied = [this](log_offset end) { this->upstream_follower.skip_to(end); };
     hooks.on_malformed = [](const known_host& holder, const std::string& reason) {
         log_event(log_level::warning, event_type::peer_answer_malformed,
             {{"step", "unpack entries"}, {"peer", holder.id.value()}, {"reason", reason}});
@@ -308,7 +308,7 @@
     this->loads.set_unheard_hosts(hosts.unheard_count(now));
     this->take_place(hosts);
     if (hosts.live_count(now) <= 1) {
-        this->reading.note_alone(now);
+        this->reading.record_no_peers(now);
     }
     this->suspects.tidy(this->is_reader());
     this->look_at_history();
@@ -341,11 +341,11 @@
     };
     hooks.on_all = [this](const std::vector<keyed_record>& records, log_offset) {
         for (const keyed_record& record : records) {
-            this->knowledge.take_bundle_record(record);
+            this->knowledge.apply_bundle_record(record);
         }
     };
     hooks.on_record = [this](const keyed_record& record, log_offset) {
-        this->knowledge.take_bundle_record(record);
+        this->knowledge.apply_bundle_record(record);
     };
     hooks.on_confirmed = [this](time_point asked) {
         this->reading.note_answered(store_topic::bundles);
@@ -363,10 +363,10 @@
             this->is_reader(), this->knowledge.upstreams_age(), this->loop.now());
     };
     hooks.on_all = [this](const std::vector<keyed_record>& records, log_offset end) {
-        this->knowledge.take_all_upstreams(records, end);
+        this->knowledge.apply_upstream_list(records, end);
     };
     hooks.on_record = [this](const keyed_record& record, log_offset offset) {
-        this->knowledge.take_upstream_record(record, offset);
+        this->knowledge.apply_upstream_record(record, offset);
     };
     hooks.on_confirmed = [this](time_point asked) {
         this->reading.note_answered(store_topic::upstreams);
@@ -416,7 +416,7 @@
     if (pool != nullptr) {
         this->keeper.look(*pool->engine, pool->name);
     }
-    if (this->knowledge.are_entries_old()) {
+    if (this->knowledge.are_entries_stale()) {
         // No entry will show what became of the orders.
         for (const upstream_id& id : this->keeper.engines_ordered()) {
             this->health.ask(id);
--- a/src/app/sailtillerd/sitehost.h
+++ b/src/app/sailtillerd/sitehost.h
@@ -18,8 +18,8 @@
 #include <runtime/signalwatch.h>
 #include <site/bundleexchange.h>
 #include <site/entryexchange.h>
-#include <site/siteknowledge.h>
-#include <site/storereading.h>
+#include <site/sitestate.h>
+#include <site/storereadschedule.h>
 #include <store/historyoffset.h>
 #include <store/keyedfollower.h>
 #include <store/storeclient.h>
@@ -41,8 +41,8 @@
     upstream_health_hooks make_health_hooks();
     keyed_follower_hooks make_follower_hooks(store_topic topic);
     layer_keeper_hooks make_keeper_hooks();
-    [[nodiscard]] site_knowledge_settings make_knowledge_settings() const;
-    site_knowledge_hooks make_knowledge_hooks();
+    [[nodiscard]] site_state_settings make_knowledge_settings() const;
+    site_state_hooks make_state_hooks();
     /// What callers may send: by the bundle, within the settings.
     [[nodiscard]] http_server_limits make_caller_limits(const caller_limits& bundled) const;
     [[nodiscard]] known_host own_host() const;
@@ -76,10 +76,10 @@
     http_client client;
     random_function random;
     store_client store;
-    site_knowledge knowledge;
+    site_state knowledge;
     part_loads loads;
     upstream_pauses pauses;
-    store_reading reading;
+    store_read_schedule reading;
     std::optional<store_era> seen_era; ///< of the store's history, as of the last look
     site_suspects suspects;
     bundle_exchange bundles;
--- a/src/app/sailtillerd/sitepeers.cpp
+++ b/src/app/sailtillerd/sitepeers.cpp
@@ -25,7 +25,7 @@
 /// To a bundle's whole text, or a list: 2.5 MB on a link of 20 Mbit/s, packed about a tenth of its size.
 constexpr duration text_answer_limit = milliseconds(1000);
 /// Guards against malformed bytes of a peer: the states of 500,000 hosts.
-constexpr std::size_t most_text_bytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 /// A leaving upstream, a new bundle and the work at the upstreams reach every host within a round or two.
 constexpr duration round_interval = host_table_settings().round_interval;
 /// The same while this host is new: after all hosts were down, their callers come back to all of them at
@@ -205,7 +205,7 @@
                 return;
             }
             try {
-                const std::string text = unpack_text(*answer, most_text_bytes);
+                const std::string text = unpack_text(*answer, max_text_bytes);
                 this->table.take_all(decode_host_news(text), this->loop.now());
             } catch (const error& malformed) {
                 log_event(log_level::warning, event_type::peer_answer_malformed,
--- a/src/libs/entry/completionexchange.cpp
+++ b/src/libs/entry/completionexchange.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A caller that lets so much of its answer pile up is taken to be gone.
-constexpr std::size_t most_queued_bytes = 1U << 20U;
+constexpr std::size_t max_queued_bytes = 1U << 20U;
 
 } // namespace
 
@@ -78,7 +78,7 @@
     };
     listener.on_end = [this] { this->handle_end(); };
     listener.on_failure = [this](const request_failure& failure) { this->handle_failure(failure); };
-    this->request.exchange->when_abandoned([this] { this->handle_caller_gone(); });
+    this->request.exchange->when_abandoned([this] { this->handle_caller_disconnect(); });
     this->context.retries.note_first_attempt();
     this->relay =
         std::make_unique<stream_relay>(this->make_relay_request(), this->make_hooks(), std::move(listener));
@@ -88,8 +88,8 @@
 void completion_exchange::handle_token(const generated_token& token, token_position position)
 {
     http_exchange& exchange = *this->request.exchange;
-    if (exchange.has_caller_left() || exchange.queued() > most_queued_bytes) {
-        this->handle_caller_gone();
+    if (exchange.has_caller_left() || exchange.queued() > max_queued_bytes) {
+        this->handle_caller_disconnect();
         return;
     }
     const time_point now = this->context.timers.now();
@@ -125,7 +125,7 @@
         exchange.finish();
     } else {
         http_response response{http_status::ok, this->request.answer_headers,
-            whole_answer(this->frame, this->text, this->finish_reason, this->tokens)};
+            completion_body(this->frame, this->text, this->finish_reason, this->tokens)};
         response.headers.push_back({"content-type", "application/json"});
         exchange.respond(response);
     }
@@ -149,7 +149,7 @@
     this->close(to_text(failure.outcome));
 }
 
-void completion_exchange::handle_caller_gone()
+void completion_exchange::handle_caller_disconnect()
 {
     this->relay->cancel();
     this->request.exchange->abort();
--- a/src/libs/entry/completionexchange.h
+++ b/src/libs/entry/completionexchange.h
@@ -26,7 +26,7 @@
     void handle_token(const generated_token& token, token_position position);
     void handle_end();
     void handle_failure(const request_failure& failure);
-    void handle_caller_gone();
+    void handle_caller_disconnect();
     void close(const std::string& outcome);
     void note(const std::string& step, const std::string& peer, const std::string& reason);
 
--- a/src/libs/entry/completionformat.cpp
+++ b/src/libs/entry/completionformat.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string to_event(const std::string& data)
+std::string format_event(const std::string& data)
 {
     return "data: " + data + "\n\n";
 }
@@ -46,20 +46,20 @@
     } else {
         choice["text"] = token.text;
     }
-    return to_event(dump(frame_to_json(frame, "chat.completion.chunk", choice)));
+    return format_event(dump(frame_to_json(frame, "chat.completion.chunk", choice)));
 }
 
 std::string error_event(const caller_error& reason)
 {
-    return to_event(error_body(reason));
+    return format_event(error_body(reason));
 }
 
 std::string done_event()
 {
-    return to_event("[DONE]");
+    return format_event("[DONE]");
 }
 
-std::string whole_answer(const completion_frame& frame, const std::string& text,
+std::string completion_body(const completion_frame& frame, const std::string& text,
     const std::string& finish_reason, std::uint32_t tokens)
 {
     json choice = {{"index", 0}, {"finish_reason", finish_to_json(finish_reason)}};
--- a/src/libs/entry/completionformat.h
+++ b/src/libs/entry/completionformat.h
@@ -22,7 +22,7 @@
 /// The last server-sent event of a whole answer.
 std::string done_event();
 /// The body of an answer that is given in one piece.
-std::string whole_answer(const completion_frame& frame, const std::string& text,
+std::string completion_body(const completion_frame& frame, const std::string& text,
     const std::string& finish_reason, std::uint32_t tokens);
 
 } // namespace sailtiller
--- a/src/libs/entry/completionrequest.cpp
+++ b/src/libs/entry/completionrequest.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::int64_t most_tokens_asked = 10'000'000;
+constexpr std::int64_t max_requested_tokens = 10'000'000;
 
 /// Ends the reading with the error for the caller.
-struct reading_stopped
+struct request_rejected
 {
     caller_error reason;
 };
 
-[[noreturn]] void stop_reading(const std::string& param, const std::string& message)
+[[noreturn]] void reject_request(const std::string& param, const std::string& message)
 {
     caller_error reason;
     reason.status = http_status::bad_request;
@@ -23,14 +23,14 @@
     reason.code = "invalid_value";
     reason.message = message;
     reason.param = param;
-    throw reading_stopped{reason};
+    throw request_rejected{reason};
 }
 
 std::string read_model(const json& body)
 {
     const auto found = body.find("model");
     if (found == body.end() || !found->is_string() || found->get_ref<const std::string&>().empty()) {
-        stop_reading("model", "the field model must be the name of a model; GET /v1/models lists them");
+        reject_request("model", "the field model must be the name of a model; GET /v1/models lists them");
     }
     return found->get<std::string>();
 }
@@ -39,7 +39,7 @@
 {
     const bool has_role = message.is_object() && message.contains("role") && message["role"].is_string();
     if (!has_role || !message.contains("content")) {
-        stop_reading("messages", "message " + std::to_string(index) + " must have a role and a content");
+        reject_request("messages", "message " + std::to_string(index) + " must have a role and a content");
     }
 }
 
@@ -47,7 +47,7 @@
 {
     const auto found = body.find("messages");
     if (found == body.end() || !found->is_array() || found->empty()) {
-        stop_reading("messages", "the field messages must be a list with at least one message");
+        reject_request("messages", "the field messages must be a list with at least one message");
     }
     for (std::size_t index = 0; index < found->size(); ++index) {
         check_message((*found)[index], index);
@@ -59,7 +59,7 @@
 {
     const auto found = body.find("prompt");
     if (found == body.end() || !found->is_string()) {
-        stop_reading("prompt", "the field prompt must be one text");
+        reject_request("prompt", "the field prompt must be one text");
     }
     return found->get<std::string>();
 }
@@ -71,7 +71,7 @@
         return false;
     }
     if (!found->is_boolean()) {
-        stop_reading(field, std::string("the field ") + field + " must be true or false");
+        reject_request(field, std::string("the field ") + field + " must be true or false");
     }
     return found->get<bool>();
 }
@@ -84,8 +84,9 @@
             continue;
         }
         const bool is_whole = found->is_number_integer();
-        if (!is_whole || found->get<std::int64_t>() < 1 || found->get<std::int64_t>() > most_tokens_asked) {
-            stop_reading(field, std::string("the field ") + field + " must be a whole number from 1");
+        if (!is_whole || found->get<std::int64_t>() < 1
+            || found->get<std::int64_t>() > max_requested_tokens) {
+            reject_request(field, std::string("the field ") + field + " must be a whole number from 1");
         }
         return found->get<std::uint32_t>();
     }
@@ -101,7 +102,7 @@
     request.is_streamed = read_flag(body, "stream");
     request.most_tokens = read_most_tokens(body);
     if (body.contains("n") && body["n"] != 1) {
-        stop_reading("n", "only one choice for each request is served; leave n out or set it to 1");
+        reject_request("n", "only one choice for each request is served; leave n out or set it to 1");
     }
     json parameters = body;
     for (const char* field : {"model", "messages", "prompt", "stream"}) {
@@ -120,13 +121,13 @@
         std::vector<json_fault> faults;
         const json document = parse_json(body, faults);
         if (!faults.empty()) {
-            stop_reading(faults.front().path, "the body is not usable: " + faults.front().reason);
+            reject_request(faults.front().path, "the body is not usable: " + faults.front().reason);
         }
         if (!document.is_object()) {
-            stop_reading("", "the body must be a JSON object");
+            reject_request("", "the body must be a JSON object");
         }
         return read_fields(kind, document);
-    } catch (const reading_stopped& stopped) {
+    } catch (const request_rejected& stopped) {
         return stopped.reason;
     } catch (const json::exception& unusable) {
         caller_error reason;
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -60,7 +60,7 @@
     exchange.respond(error_response(reason, {{"x-request-id", id.value()}}));
 }
 
-void entry_service::send_elsewhere(http_exchange& exchange, const request_id& id)
+void entry_service::refuse_while_stopping(http_exchange& exchange, const request_id& id)
 {
     caller_error reason = make_error(http_status::unavailable, "server_error", "stopping",
         "this host stops and takes nothing more; another host takes the request now");
@@ -68,7 +68,7 @@
     this->refuse(exchange, id, reason);
 }
 
-void entry_service::log_cut_off() const
+void entry_service::log_aborted_requests() const
 {
     const time_point now = this->context.timers.now();
     for (const auto& [id, arrived] : this->under_way) {
@@ -118,7 +118,7 @@
     // Judged here, where every request passes: closed listeners leave the connections that are open, and what
     // comes over those after the grace would run into the end of the stop.
     if (this->stop.is_grace_over(request.started_at)) {
-        this->send_elsewhere(*exchange, request.id);
+        this->refuse_while_stopping(*exchange, request.id);
         return std::nullopt;
     }
     if (!this->state) {
--- a/src/libs/entry/entryservice.h
+++ b/src/libs/entry/entryservice.h
@@ -24,7 +24,7 @@
     /// The host has been told to stop: takes nothing once the grace is over.
     void begin_stop(duration grace) { this->stop.begin(this->context.timers.now(), grace); }
     /// Logs each request that is still under way when the stop's limit comes.
-    void log_cut_off() const;
+    void log_aborted_requests() const;
 
 private:
     void refuse(http_exchange& exchange, const request_id& id, const caller_error& reason);
@@ -33,7 +33,7 @@
     /// answered.
     void admit(admitted_request request, std::function<void(admitted_request)> start);
     /// Sends the caller to another host at once, as this one stops.
-    void send_elsewhere(http_exchange& exchange, const request_id& id);
+    void refuse_while_stopping(http_exchange& exchange, const request_id& id);
     void refuse_by_limit(const admitted_request& request, const share_refusal& refusal);
     void start_completion(admitted_request request, const completion_request& wanted);
     void start_service(admitted_request request, const plain_service& service);
--- a/src/libs/gateway/gatewayservice.cpp
+++ b/src/libs/gateway/gatewayservice.cpp
@@ -23,7 +23,7 @@
     this->answer_refused(exchange, request, response, reason);
 }
 
-void gateway_service::send_elsewhere(
+void gateway_service::refuse_while_stopping(
     const std::shared_ptr<http_exchange>& exchange, const caller_request& request)
 {
     const std::string reason = "this host stops and takes nothing more";
@@ -37,10 +37,10 @@
     // Judged here, where every request passes: closing listeners and connections at rest leaves those that
     // carry a request or its beginning, and what came over them ran into the end of the stop.
     if (this->stop.is_grace_over(arrived)) {
-        this->send_elsewhere(exchange, request);
+        this->refuse_while_stopping(exchange, request);
         return;
     }
-    if (!this->can_judge() && this->hold(exchange, request, arrived)) {
+    if (!this->can_route() && this->hold(exchange, request, arrived)) {
         return;
     }
     if (!this->bundle) {
@@ -50,10 +50,10 @@
     this->judge(exchange, request, arrived);
 }
 
-bool gateway_service::can_judge()
+bool gateway_service::can_route()
 {
-    this->was_sure = this->was_sure || (this->bundle && this->context.may_send());
-    return this->was_sure;
+    this->had_current_bundle = this->had_current_bundle || (this->bundle && this->context.may_send());
+    return this->had_current_bundle;
 }
 
 bool gateway_service::hold(
@@ -184,7 +184,7 @@
 {
     const time_point now = this->context.timers.now();
     std::size_t broken_off = 0;
-    const std::map<std::uint64_t, request_under_way> last = this->under_way; // each takes itself out
+    const std::map<std::uint64_t, active_request> last = this->under_way; // each takes itself out
     for (const auto& [key, running] : last) {
         if (const std::shared_ptr<plain_delivery> plain = running.plain.lock()) {
             plain->end_for_stop();
@@ -200,7 +200,7 @@
 void gateway_service::deliver(const std::shared_ptr<http_exchange>& exchange, delivery_order order)
 {
     const std::uint64_t key = ++this->last_taken;
-    const auto entry = this->under_way.emplace(key, request_under_way{order.arrived, {}, {}}).first;
+    const auto entry = this->under_way.emplace(key, active_request{order.arrived, {}, {}}).first;
     const auto on_done = [this, key] { this->under_way.erase(key); };
     caller_hooks caller = make_caller_hooks(exchange);
     if (order.route->kind == route_kind::stream) {
--- a/src/libs/gateway/gatewayservice.h
+++ b/src/libs/gateway/gatewayservice.h
@@ -3,7 +3,7 @@
 
 #include <base/plannedstop.h>
 #include <delivery/deliverycontext.h>
-#include <gateway/earlyrequests.h>
+#include <gateway/startupqueue.h>
 #include <runtime/httpexchange.h>
 
 namespace sailtiller {
@@ -18,7 +18,7 @@
 public:
     explicit gateway_service(delivery_context& context)
         : context(context)
-        , early(context.timers, [this] { return this->can_judge(); }, {})
+        , early(context.timers, [this] { return this->can_route(); }, {})
     {
     }
 
@@ -45,7 +45,7 @@
     std::size_t end_for_stop();
 
 private:
-    struct request_under_way
+    struct active_request
     {
         time_point arrived;
         std::weak_ptr<stream_delivery> stream; ///< one of the two is empty
@@ -53,7 +53,7 @@
     };
 
     /// True once there was a bundle that was known to be the newest.
-    [[nodiscard]] bool can_judge();
+    [[nodiscard]] bool can_route();
     /// The request waits until it can be judged; false if it must not.
     bool hold(
         const std::shared_ptr<http_exchange>& exchange, const caller_request& request, time_point arrived);
@@ -72,16 +72,16 @@
     void refuse(const std::shared_ptr<http_exchange>& exchange, const caller_request& request, int status,
         const std::string& reason);
     /// Sends the caller to another host at once, as this one stops.
-    void send_elsewhere(const std::shared_ptr<http_exchange>& exchange, const caller_request& request);
+    void refuse_while_stopping(const std::shared_ptr<http_exchange>& exchange, const caller_request& request);
     void answer_refused(const std::shared_ptr<http_exchange>& exchange, const caller_request& request,
         const http_response& response, const std::string& reason);
 
     delivery_context& context;
     std::shared_ptr<const site_bundle> bundle;
     planned_stop stop;
-    early_requests early;
-    bool was_sure = false;
-    std::map<std::uint64_t, request_under_way> under_way;
+    startup_queue early;
+    bool had_current_bundle = false;
+    std::map<std::uint64_t, active_request> under_way;
     std::uint64_t last_taken = 0;
 };
 
--- a/src/libs/gateway/earlyrequests.cpp
+++ b/src/libs/gateway/startupqueue.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <gateway/earlyrequests.h>
+#include <gateway/startupqueue.h>
 
 #include <utility>
 
 namespace sailtiller {
 
-early_requests::early_requests(
-    timer_hooks timers, std::function<bool()> is_ready, early_request_limits limits)
+startup_queue::startup_queue(timer_hooks timers, std::function<bool()> is_ready, startup_queue_limits limits)
     : timers(std::move(timers))
     , is_ready(std::move(is_ready))
     , limits(limits)
@@ -14,7 +13,7 @@
 {
 }
 
-bool early_requests::hold(std::function<void()> serve, std::function<void()> refuse)
+bool startup_queue::hold(std::function<void()> serve, std::function<void()> refuse)
 {
     if (this->timers.now() >= this->end() || this->waiting.size() >= this->limits.most) {
         return false;
@@ -26,14 +25,14 @@
     return true;
 }
 
-void early_requests::look()
+void startup_queue::look()
 {
     if (this->waiting.empty()) {
         return; // all were refused meanwhile
     }
     if (this->is_ready()) {
-        const std::vector<held_request> held = std::exchange(this->waiting, {});
-        for (const held_request& item : held) {
+        const std::vector<queued_request> held = std::exchange(this->waiting, {});
+        for (const queued_request& item : held) {
             item.serve();
         }
         return;
@@ -45,10 +44,10 @@
     this->timers.schedule_after(this->limits.look_interval, [this] { this->look(); });
 }
 
-void early_requests::refuse_all()
+void startup_queue::refuse_all()
 {
-    const std::vector<held_request> held = std::exchange(this->waiting, {});
-    for (const held_request& item : held) {
+    const std::vector<queued_request> held = std::exchange(this->waiting, {});
+    for (const queued_request& item : held) {
         item.refuse();
     }
 }
--- a/src/libs/gateway/earlyrequests.h
+++ b/src/libs/gateway/startupqueue.h
@@ -9,7 +9,7 @@
 namespace sailtiller {
 
 /// How long requests may wait until a host can judge them, and how many.
-struct early_request_limits
+struct startup_queue_limits
 {
     /// Counted from the host's start. Reading the first configuration from the store takes 0.4 to 0.6 s on an
     /// eighth of a core; a store that has not answered by then may be away for long.
@@ -23,11 +23,11 @@
 /// Requests that came before the host had a configuration that it knows to be the newest. After all hosts
 /// were down, their callers come back at once, and many of them don't try a second time: of 64 hosts that
 /// were killed together, 536 requests were refused in the 0.4 s until the configuration was read.
-class early_requests
+class startup_queue
 {
 public:
     /// `is_ready`: true once the host can judge requests.
-    early_requests(timer_hooks timers, std::function<bool()> is_ready, early_request_limits limits);
+    startup_queue(timer_hooks timers, std::function<bool()> is_ready, startup_queue_limits limits);
 
     /// Holds a request until the host is ready; what waits is then served in the order in which it came.
     /// Returns false, and does nothing, if it must not wait.
@@ -37,7 +37,7 @@
     [[nodiscard]] std::size_t count() const { return this->waiting.size(); }
 
 private:
-    struct held_request
+    struct queued_request
     {
         std::function<void()> serve;
         std::function<void()> refuse;
@@ -48,9 +48,9 @@
 
     timer_hooks timers;
     std::function<bool()> is_ready;
-    early_request_limits limits;
+    startup_queue_limits limits;
     time_point started;
-    std::vector<held_request> waiting;
+    std::vector<queued_request> waiting;
 };
 
 } // namespace sailtiller
--- a/src/libs/site/bundleexchange.cpp
+++ b/src/libs/site/bundleexchange.cpp
@@ -10,11 +10,11 @@
 bundle_exchange::bundle_exchange(bundle_exchange_settings settings, bundle_exchange_hooks hooks)
     : settings(settings)
     , hooks(std::move(hooks))
-    , budget(settings.most_given_bytes, settings.give_interval)
+    , budget(settings.max_bytes_per_interval, settings.budget_interval)
 {
 }
 
-void bundle_exchange::note_holder(const known_host& holder, std::uint64_t version)
+void bundle_exchange::record_holder(const known_host& holder, std::uint64_t version)
 {
     if (version <= this->hooks.own_version()) {
         this->holders.erase(holder.id);
@@ -26,7 +26,7 @@
     }
 }
 
-void bundle_exchange::forget_older()
+void bundle_exchange::drop_outdated_holders()
 {
     const std::uint64_t own = this->hooks.own_version();
     std::erase_if(this->holders, [own](const auto& item) { return item.second.version <= own; });
@@ -34,7 +34,7 @@
 
 void bundle_exchange::fetch()
 {
-    this->forget_older();
+    this->drop_outdated_holders();
     this->is_fetching = !this->holders.empty();
     if (!this->is_fetching) {
         return;
@@ -51,7 +51,7 @@
 {
     if (answer) {
         try {
-            const std::string text = unpack_text(*answer, this->settings.most_text_bytes);
+            const std::string text = unpack_text(*answer, this->settings.max_text_bytes);
             this->hooks.take(holder, text);
             if (this->hooks.own_text() == text) {
                 this->packed = *answer;
@@ -63,7 +63,7 @@
     }
     // Whoever could not give it, or gave something else, is asked again only once it has told of it again.
     this->holders.erase(holder.id);
-    this->forget_older();
+    this->drop_outdated_holders();
     if (this->holders.empty()) {
         this->is_fetching = false;
         return;
@@ -87,10 +87,10 @@
         return std::nullopt;
     }
     const std::string& text = this->packed_text();
-    if (!this->budget.may_give(text.size(), this->hooks.timers.now())) {
+    if (!this->budget.has_budget_for(text.size(), this->hooks.timers.now())) {
         return std::nullopt;
     }
-    this->budget.note_given(text.size());
+    this->budget.record_sent_bytes(text.size());
     return text;
 }
 
--- a/src/libs/site/bundleexchange.h
+++ b/src/libs/site/bundleexchange.h
@@ -4,7 +4,7 @@
 #include <base/random.h>
 #include <base/timerqueue.h>
 #include <fleet/peerreport.h>
-#include <site/givebudget.h>
+#include <site/transferbudget.h>
 
 #include <map>
 
@@ -16,12 +16,12 @@
     /// Bytes of bundles that a host gives in one interval, at the least one bundle: about half of the
     /// smallest link that hosts have (20 Mbit/s), so that answers to callers keep the other half. The holders
     /// double in each interval, so a bundle reaches 400 hosts in nine.
-    std::size_t most_given_bytes = std::size_t{128} * 1024;
-    duration give_interval = std::chrono::milliseconds(100);
+    std::size_t max_bytes_per_interval = std::size_t{128} * 1024;
+    duration budget_interval = std::chrono::milliseconds(100);
     /// Pause after a host that could not give its bundle.
     duration retry_pause = std::chrono::milliseconds(100);
     /// Longer than any text that the store takes; guards against malformed bytes of a peer.
-    std::size_t most_text_bytes = std::size_t{64} * 1024 * 1024;
+    std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 };
 
 /// What the exchange needs from outside.
@@ -51,7 +51,7 @@
     bundle_exchange(bundle_exchange_settings settings, bundle_exchange_hooks hooks);
 
     /// A host told that it has this version.
-    void note_holder(const known_host& holder, std::uint64_t version);
+    void record_holder(const known_host& holder, std::uint64_t version);
     /// What one who asks gets: the bundle, packed; nothing if there is none, or enough was given for now.
     std::optional<std::string> give();
 
@@ -59,7 +59,7 @@
     void fetch();
     void take_answer(const known_host& holder, const std::optional<std::string>& packed);
     /// Hosts that have a newer bundle than this one; others are forgotten.
-    void forget_older();
+    void drop_outdated_holders();
     const std::string& packed_text();
 
     bundle_exchange_settings settings;
@@ -74,7 +74,7 @@
     bool is_fetching = false; ///< or waiting for the next try
     std::string packed; ///< of `packed_version`
     std::uint64_t packed_version = 0;
-    give_budget budget;
+    transfer_budget budget;
 };
 
 } // namespace sailtiller
--- a/src/libs/site/entryexchange.cpp
+++ b/src/libs/site/entryexchange.cpp
@@ -35,16 +35,16 @@
         write_age(answer.entries_age), write_age(answer.store_disturbed_age), bytes}));
 }
 
-peer_report read_answer(const std::string& bytes, std::size_t most_text_bytes)
+peer_report read_answer(const std::string& bytes, std::size_t max_text_bytes)
 {
-    return decode_cbor("read entries", bytes, [most_text_bytes](const json& item) {
+    return decode_cbor("read entries", bytes, [max_text_bytes](const json& item) {
         peer_report answer;
         answer.entries_offset = item.at(0).get<std::uint64_t>();
         answer.are_entries_whole = item.at(1).get<bool>();
         answer.entries_age = read_age(item.at(2));
         answer.store_disturbed_age = read_age(item.at(3));
         const auto& packed = item.at(4).get_binary();
-        answer.changes = unpack_changes(std::string(packed.begin(), packed.end()), most_text_bytes);
+        answer.changes = unpack_changes(std::string(packed.begin(), packed.end()), max_text_bytes);
         return answer;
     });
 }
@@ -52,11 +52,11 @@
 } // namespace
 
 entry_exchange::entry_exchange(
-    entry_exchange_settings settings, site_knowledge& knowledge, entry_exchange_hooks hooks)
+    entry_exchange_settings settings, site_state& knowledge, entry_exchange_hooks hooks)
     : settings(settings)
     , knowledge(knowledge)
     , hooks(std::move(hooks))
-    , budget(settings.most_given_bytes, settings.give_interval)
+    , budget(settings.max_bytes_per_interval, settings.budget_interval)
 {
 }
 
@@ -80,11 +80,11 @@
         return; // the next report names a host that may give them
     }
     try {
-        peer_report answer = read_answer(*bytes, this->settings.most_text_bytes);
+        peer_report answer = read_answer(*bytes, this->settings.max_text_bytes);
         answer.sender = holder;
         this->knowledge.take_answer(answer, asked);
         if (const std::optional<log_offset>& end = this->knowledge.upstreams_end()) {
-            this->hooks.on_taken(*end);
+            this->hooks.on_applied(*end);
         }
     } catch (const error& malformed) {
         this->hooks.on_malformed(holder, malformed.reason());
@@ -114,7 +114,7 @@
         return std::nullopt;
     }
     const time_point now = this->hooks.now();
-    if (!this->budget.may_give(1, now)) {
+    if (!this->budget.has_budget_for(1, now)) {
         return std::nullopt; // before the work of packing them
     }
     peer_report answer;
@@ -130,7 +130,7 @@
         packed = pack_records(this->knowledge.entries_since(known).records);
     }
     std::string bytes = write_answer(answer, packed);
-    this->budget.note_given(bytes.size());
+    this->budget.record_sent_bytes(bytes.size());
     return bytes;
 }
 
--- a/src/libs/site/entryexchange.h
+++ b/src/libs/site/entryexchange.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include <site/givebudget.h>
-#include <site/siteknowledge.h>
+#include <site/sitestate.h>
+#include <site/transferbudget.h>
 
 namespace sailtiller {
 
@@ -11,12 +11,12 @@
 {
     /// Bytes of entries that a host gives in one interval, at the least one answer: about half of the
     /// smallest link that hosts have (20 Mbit/s).
-    std::size_t most_given_bytes = std::size_t{128} * 1024;
-    duration give_interval = std::chrono::milliseconds(100);
+    std::size_t max_bytes_per_interval = std::size_t{128} * 1024;
+    duration budget_interval = std::chrono::milliseconds(100);
     /// All entries are packed anew only so often; what has changed since is asked for next.
     duration repack_interval = std::chrono::milliseconds(500);
     /// Guards against malformed bytes of a peer: 100,000 entries.
-    std::size_t most_text_bytes = std::size_t{64} * 1024 * 1024;
+    std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 };
 
 /// What the exchange needs from outside.
@@ -29,7 +29,7 @@
         std::function<void(const std::optional<std::string>&)>)>
         ask;
     /// The entries are known up to there.
-    std::function<void(log_offset end)> on_taken;
+    std::function<void(log_offset end)> on_applied;
     /// Tells about bytes that can't be read.
     std::function<void(const known_host&, const std::string& reason)> on_malformed;
 };
@@ -39,7 +39,7 @@
 class entry_exchange
 {
 public:
-    entry_exchange(entry_exchange_settings settings, site_knowledge& knowledge, entry_exchange_hooks hooks);
+    entry_exchange(entry_exchange_settings settings, site_state& knowledge, entry_exchange_hooks hooks);
 
     /// An answer of another host came; it may know more of the entries than it told.
     void note_answer(const peer_report& answer);
@@ -60,11 +60,11 @@
     [[nodiscard]] std::optional<time_point> confirmed_at() const;
 
     entry_exchange_settings settings;
-    site_knowledge& knowledge;
+    site_state& knowledge;
     entry_exchange_hooks hooks;
     std::optional<packed_list> list;
     bool is_fetching = false;
-    give_budget budget;
+    transfer_budget budget;
 };
 
 /// A question for entries as CBOR: up to where they are known, if at all.
--- a/src/libs/site/pastupstreams.cpp
+++ b/src/libs/site/retiredupstreams.cpp
@@ -1,26 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <base/latest.h>
-#include <site/pastupstreams.h>
+#include <site/retiredupstreams.h>
 
 namespace sailtiller {
 
-void past_upstreams::note_written(const upstream_id& id)
+void retired_upstreams::record_entry_written(const upstream_id& id)
 {
     this->ended.erase(id);
     this->leaving.erase(id);
 }
 
-bool past_upstreams::note_said_leaving(const upstream_id& id, time_point now)
+bool retired_upstreams::record_leaving_notice(const upstream_id& id, time_point now)
 {
-    if (this->said.size() >= most_said) {
+    if (this->said.size() >= max_leaving_notices) {
         return false;
     }
-    return this->said.try_emplace(id, leaving_word{now, now}).second;
+    return this->said.try_emplace(id, leaving_notice{now, now}).second;
 }
 
-std::vector<upstream_id> past_upstreams::list_said_leaving(std::size_t most) const
+std::vector<upstream_id> retired_upstreams::latest_leaving_notices(std::size_t most) const
 {
-    std::vector<const std::pair<const upstream_id, leaving_word>*> latest;
+    std::vector<const std::pair<const upstream_id, leaving_notice>*> latest;
     latest.reserve(this->said.size());
     for (const auto& item : this->said) {
         latest.push_back(&item);
@@ -34,7 +34,7 @@
     return ids;
 }
 
-void past_upstreams::begin_history(time_point now)
+void retired_upstreams::begin_history(time_point now)
 {
     this->history_begun = now;
     for (auto& [id, at] : this->ended) {
@@ -42,21 +42,21 @@
     }
 }
 
-bool past_upstreams::has_ended(const upstream_id& id) const
+bool retired_upstreams::has_ended(const upstream_id& id) const
 {
     // In the history in which it ended, a list that names it was written later and says what holds.
     const auto found = this->ended.find(id);
     return found != this->ended.end() && found->second <= this->history_begun;
 }
 
-void past_upstreams::forget_old(const std::function<bool(const upstream_id&)>& is_listed, time_point now)
+void retired_upstreams::forget_old(const std::function<bool(const upstream_id&)>& is_listed, time_point now)
 {
     for (auto& [id, word] : this->said) {
         word.listed = is_listed(id) ? now : word.listed;
     }
-    std::erase_if(this->said, [now](const auto& item) { return now - item.second.listed > memory; });
-    std::erase_if(this->ended, [now](const auto& item) { return now - item.second > memory; });
-    if (now - this->history_begun > memory) {
+    std::erase_if(this->said, [now](const auto& item) { return now - item.second.listed > retention; });
+    std::erase_if(this->ended, [now](const auto& item) { return now - item.second > retention; });
+    if (now - this->history_begun > retention) {
         this->leaving.clear();
     }
 }
--- a/src/libs/site/pastupstreams.h
+++ b/src/libs/site/retiredupstreams.h
@@ -15,23 +15,23 @@
 /// when it comes back from a copy, it has their entries from before, and nobody writes those of ended ones
 /// again. Without this memory, hosts used one that had ended seconds before (seven hosts under a paused
 /// clock).
-class past_upstreams
+class retired_upstreams
 {
 public:
     /// A copy is some seconds old, and the store drops an entry that nobody writes after three heartbeats.
-    static constexpr duration memory = std::chrono::seconds(60);
+    static constexpr duration retention = std::chrono::seconds(60);
     /// Upstreams that said they leave: at most so many are remembered. 3,000 engines are the most that a site
     /// is designed for.
-    static constexpr std::size_t most_said = 4096;
+    static constexpr std::size_t max_leaving_notices = 4096;
 
     /// The upstream's entry is gone from the store.
     void note_ended(const upstream_id& id, time_point now) { this->ended[id] = now; }
     /// It was leaving when the store's new history began.
     void note_leaving(const upstream_id& id) { this->leaving.insert(id); }
     /// It said in an answer that it leaves, whatever its entry says. Returns whether that is news.
-    bool note_said_leaving(const upstream_id& id, time_point now);
+    bool record_leaving_notice(const upstream_id& id, time_point now);
     /// It has written its entry, so what that says holds.
-    void note_written(const upstream_id& id);
+    void record_entry_written(const upstream_id& id);
     /// The store has come back from a copy.
     void begin_history(time_point now);
     /// Forgets what can't come back any more. Who said that it leaves is remembered for as long as it is
@@ -40,13 +40,13 @@
 
     [[nodiscard]] bool has_ended(const upstream_id& id) const;
     [[nodiscard]] bool was_leaving(const upstream_id& id) const { return this->leaving.count(id) != 0; }
-    [[nodiscard]] bool has_said_leaving(const upstream_id& id) const { return this->said.count(id) != 0; }
+    [[nodiscard]] bool has_leaving_notice(const upstream_id& id) const { return this->said.count(id) != 0; }
     /// The latest of those that said so, at most `most`.
-    [[nodiscard]] std::vector<upstream_id> list_said_leaving(std::size_t most) const;
+    [[nodiscard]] std::vector<upstream_id> latest_leaving_notices(std::size_t most) const;
 
 private:
     /// A word of an upstream that it leaves.
-    struct leaving_word
+    struct leaving_notice
     {
         time_point heard{};
         time_point listed{}; ///< last seen in the list, or heard
@@ -54,7 +54,7 @@
 
     std::map<upstream_id, time_point> ended; ///< and when that was known
     std::set<upstream_id> leaving;
-    std::map<upstream_id, leaving_word> said;
+    std::map<upstream_id, leaving_notice> said;
     time_point history_begun{}; ///< the clock's zero if the store never came back from a copy
 };
 
--- a/src/libs/site/siteknowledge.cpp
+++ b/src/libs/site/sitestate.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include <base/error.h>
-#include <site/siteknowledge.h>
+#include <site/sitestate.h>
 #include <store/historyoffset.h>
 
 #include <algorithm>
@@ -12,11 +12,11 @@
 /// The record under which operators keep the bundle.
 constexpr std::string_view bundle_key = "config";
 /// Names whose unusable values are remembered as logged; one that writes many is logged again.
-constexpr std::size_t most_unusable_entries = 256;
+constexpr std::size_t max_logged_unusable_entries = 256;
 /// In one report; some 4 kB. Whoever lacks more asks one host for it by itself.
-constexpr std::size_t most_changes_told = 16;
+constexpr std::size_t max_changes_per_report = 16;
 /// In one report; 0.7 kB. More leave at once only as a hall is emptied, and each host hears of its own.
-constexpr std::size_t most_leaving_told = 32;
+constexpr std::size_t max_leaving_per_report = 32;
 
 std::optional<duration> age_of(const std::optional<time_point>& moment, time_point now)
 {
@@ -24,7 +24,7 @@
 }
 
 /// For the log. The age tells how long this host would have served by the bundle before.
-std::string describe_arrival(const bundle_source& source, const std::optional<duration>& age)
+std::string describe_bundle_source(const bundle_source& source, const std::optional<duration>& age)
 {
     const std::string giver = source.peer ? "from " + source.peer->value() : "read from the store";
     if (!age) {
@@ -41,28 +41,28 @@
 
 } // namespace
 
-site_knowledge::site_knowledge(site_knowledge_settings settings, site_knowledge_hooks hooks)
+site_state::site_state(site_state_settings settings, site_state_hooks hooks)
     : settings(settings)
     , hooks(std::move(hooks))
     , directory(settings.lapse_grace, this->hooks.on_outlived)
-    , own_disturbed(this->hooks.now())
+    , own_store_disturbance(this->hooks.now())
     , started(this->hooks.now())
 {
 }
 
-void site_knowledge::take_bundle_record(const keyed_record& record)
+void site_state::apply_bundle_record(const keyed_record& record)
 {
     if (record.key == bundle_key && record.value) {
-        this->take_bundle_text(*record.value, {});
+        this->apply_bundle_text(*record.value, {});
     }
 }
 
-std::uint64_t site_knowledge::own_version() const
+std::uint64_t site_state::own_version() const
 {
     return this->current ? this->current->version.value() : 0;
 }
 
-void site_knowledge::take_bundle_text(const std::string& text, const bundle_source& source)
+void site_state::apply_bundle_text(const std::string& text, const bundle_source& source)
 {
     if (text == this->bundle_text) {
         return;
@@ -75,19 +75,19 @@
         this->current = next;
         this->bundle_text = text;
         this->hooks.on_event(event_type::bundle_in_force, std::to_string(next->version.value()),
-            describe_arrival(source, this->bundle_age()));
+            describe_bundle_source(source, this->bundle_age()));
         this->hooks.on_bundle(this->current);
     } catch (const error& malformed) {
         this->hooks.on_event(event_type::bundle_unusable, malformed.peer(), malformed.reason());
     }
 }
 
-void site_knowledge::confirm_bundle(time_point asked)
+void site_state::confirm_bundle(time_point asked)
 {
-    this->renew_confirmation(asked, {});
+    this->confirm_bundle_as_of(asked, {});
 }
 
-void site_knowledge::renew_confirmation(time_point asked, const bundle_source& source)
+void site_state::confirm_bundle_as_of(time_point asked, const bundle_source& source)
 {
     const bool is_newer = !this->bundle_confirmed || asked > *this->bundle_confirmed;
     if (!is_newer) {
@@ -100,11 +100,11 @@
     this->bundle_confirmed = asked;
 }
 
-std::optional<discovered_upstream> site_knowledge::read_upstream(const keyed_record& record)
+std::optional<discovered_upstream> site_state::read_upstream(const keyed_record& record)
 {
     try {
         discovered_upstream upstream = this->hooks.decode_upstream(record.key, *record.value);
-        upstream.is_leaving = upstream.is_leaving || this->past.has_said_leaving(upstream.id);
+        upstream.is_leaving = upstream.is_leaving || this->past.has_leaving_notice(upstream.id);
         return upstream;
     } catch (const error& malformed) {
         this->log_unusable(record, malformed.reason());
@@ -112,21 +112,22 @@
     }
 }
 
-void site_knowledge::log_unusable(const keyed_record& record, const std::string& reason)
+void site_state::log_unusable(const keyed_record& record, const std::string& reason)
 {
     const std::size_t content = std::hash<std::string>{}(*record.value);
     const auto known = this->unusable_entries.find(record.key);
     if (known != this->unusable_entries.end() && known->second == content) {
         return;
     }
-    if (known == this->unusable_entries.end() && this->unusable_entries.size() >= most_unusable_entries) {
+    if (known == this->unusable_entries.end()
+        && this->unusable_entries.size() >= max_logged_unusable_entries) {
         this->unusable_entries.clear();
     }
     this->unusable_entries[record.key] = content;
     this->hooks.on_event(event_type::upstream_entry_unusable, record.key, reason);
 }
 
-void site_knowledge::put_upstream(const keyed_record& record)
+void site_state::put_upstream(const keyed_record& record)
 {
     if (!record.value) {
         this->remove_upstream(record.key);
@@ -137,11 +138,11 @@
         this->drop_upstream(record.key);
         return;
     }
-    this->past.note_written(upstream->id);
+    this->past.record_entry_written(upstream->id);
     this->put_read_upstream(record.key, *upstream);
 }
 
-void site_knowledge::put_read_upstream(const std::string& name, const discovered_upstream& upstream)
+void site_state::put_read_upstream(const std::string& name, const discovered_upstream& upstream)
 {
     const directory_entry* before = this->directory.find(upstream.id);
     const bool was_lapsed = before != nullptr && before->is_lapsed;
@@ -156,19 +157,19 @@
     }
 }
 
-void site_knowledge::remove_upstream(const std::string& name)
+void site_state::remove_upstream(const std::string& name)
 {
     const auto remove = [this](const upstream_id& id) { this->directory.remove(id, this->hooks.now()); };
-    this->take_out(name, "", remove);
+    this->retire_upstream(name, "", remove);
 }
 
-void site_knowledge::drop_upstream(const std::string& name)
+void site_state::drop_upstream(const std::string& name)
 {
     const auto drop = [this](const upstream_id& id) { this->directory.drop(id, this->hooks.now()); };
-    this->take_out(name, "its entry names none to use", drop);
+    this->retire_upstream(name, "its entry names none to use", drop);
 }
 
-void site_knowledge::take_out(
+void site_state::retire_upstream(
     const std::string& name, const std::string& reason, const std::function<void(const upstream_id&)>& take)
 {
     const directory_entry* known = this->directory.find_named(name);
@@ -185,34 +186,34 @@
         is_kept ? "kept for a while, as the store was away" : reason);
 }
 
-void site_knowledge::note_entries_answered()
+void site_state::record_entries_read()
 {
-    if (this->is_entries_read_failed) {
-        this->is_entries_read_failed = false;
-        this->own_disturbed = this->hooks.now();
+    if (this->has_last_entries_read_failed) {
+        this->has_last_entries_read_failed = false;
+        this->own_store_disturbance = this->hooks.now();
     }
 }
 
-void site_knowledge::take_upstream_record(const keyed_record& record, log_offset offset)
+void site_state::apply_upstream_record(const keyed_record& record, log_offset offset)
 {
-    this->note_entries_answered();
+    this->record_entries_read();
     if (this->mirror.end() && offset < *this->mirror.end()) {
         return; // another host has told what came of it since
     }
-    this->directory.set_store_disturbed(this->own_disturbed);
+    this->directory.set_store_disturbed(this->own_store_disturbance);
     this->put_upstream(record);
     this->mirror.note(record, offset);
     this->mirror.advance(log_offset(offset.value() + 1));
 }
 
-void site_knowledge::take_all_upstreams(const std::vector<keyed_record>& records, log_offset end)
+void site_state::apply_upstream_list(const std::vector<keyed_record>& records, log_offset end)
 {
-    this->note_entries_answered();
-    this->directory.set_store_disturbed(this->own_disturbed);
-    this->take_list(records, end);
+    this->record_entries_read();
+    this->directory.set_store_disturbed(this->own_store_disturbance);
+    this->apply_list(records, end);
 }
 
-void site_knowledge::take_list(const std::vector<keyed_record>& records, log_offset end)
+void site_state::apply_list(const std::vector<keyed_record>& records, log_offset end)
 {
     if (this->mirror.end() && end < *this->mirror.end()) {
         return;
@@ -235,7 +236,7 @@
     }
 }
 
-std::optional<discovered_upstream> site_knowledge::read_listed(const keyed_record& record)
+std::optional<discovered_upstream> site_state::read_listed(const keyed_record& record)
 {
     std::optional<discovered_upstream> upstream = this->read_upstream(record);
     if (!upstream) {
@@ -249,11 +250,11 @@
     return upstream;
 }
 
-void site_knowledge::begin_history(log_offset end)
+void site_state::begin_history(log_offset end)
 {
     const time_point now = this->hooks.now();
-    this->own_disturbed = now;
-    this->has_store_failed = true;
+    this->own_store_disturbance = now;
+    this->has_store_read_failed = true;
     this->directory.set_store_disturbed(now);
     this->past.begin_history(now);
     for (const auto& [id, entry] : this->directory.entries()) {
@@ -265,35 +266,35 @@
         "from " + describe_offset(*this->mirror.end()) + " to " + describe_offset(end));
 }
 
-void site_knowledge::confirm_upstreams(time_point asked)
+void site_state::confirm_upstreams(time_point asked)
 {
-    this->note_entries_answered();
-    this->renew_upstreams(asked);
+    this->record_entries_read();
+    this->confirm_upstreams_as_of(asked);
 }
 
-void site_knowledge::renew_upstreams(time_point asked)
+void site_state::confirm_upstreams_as_of(time_point asked)
 {
     this->upstreams_confirmed = std::max(asked, this->upstreams_confirmed.value_or(asked));
 }
 
-void site_knowledge::note_leaving(const upstream_id& id)
+void site_state::note_leaving(const upstream_id& id)
 {
-    this->take_leaving_word(id, "by its own answer");
+    this->apply_leaving_notice(id, "by its own answer");
 }
 
-void site_knowledge::take_leaving(const peer_report& report)
+void site_state::apply_leaving_notices(const peer_report& report)
 {
     for (const upstream_id& id : report.leaving_upstreams) {
         // Of one that is gone, hosts would remind each other for ever.
         if (this->directory.find(id) != nullptr) {
-            this->take_leaving_word(id, "it told " + report.sender.id.value());
+            this->apply_leaving_notice(id, "it told " + report.sender.id.value());
         }
     }
 }
 
-void site_knowledge::take_leaving_word(const upstream_id& id, const std::string& source)
+void site_state::apply_leaving_notice(const upstream_id& id, const std::string& source)
 {
-    if (!this->past.note_said_leaving(id, this->hooks.now())) {
+    if (!this->past.record_leaving_notice(id, this->hooks.now())) {
         return;
     }
     if (this->directory.set_leaving(id)) {
@@ -301,30 +302,30 @@
     }
 }
 
-void site_knowledge::note_ended(const upstream_id& id)
+void site_state::note_ended(const upstream_id& id)
 {
     this->directory.end(id, this->hooks.now());
 }
 
-bool site_knowledge::are_entries_old() const
+bool site_state::are_entries_stale() const
 {
     const std::optional<duration> age = this->upstreams_age();
-    return age && *age > this->settings.entries_limit;
+    return age && *age > this->settings.max_entries_age;
 }
 
-void site_knowledge::note_held(const upstream_id& id, const layer_span& held, time_point told)
+void site_state::record_reported_layers(const upstream_id& id, const layer_span& held, time_point told)
 {
     const directory_entry* entry = this->directory.find(id);
-    if (entry == nullptr || !this->are_entries_old()) {
+    if (entry == nullptr || !this->are_entries_stale()) {
         return;
     }
-    const auto known = this->told_holdings.find(id);
-    const bool is_newer = known == this->told_holdings.end() || told > known->second.told;
+    const auto known = this->reported_holdings.find(id);
+    const bool is_newer = known == this->reported_holdings.end() || told > known->second.told;
     if (!is_newer) {
         return;
     }
     if (entry->upstream.held == held) {
-        if (known != this->told_holdings.end()) {
+        if (known != this->reported_holdings.end()) {
             known->second.told = told;
         }
         return;
@@ -332,32 +333,33 @@
     discovered_upstream upstream = entry->upstream;
     upstream.held = held;
     this->directory.put(upstream, this->hooks.now());
-    this->told_holdings[id] = {held, told};
+    this->reported_holdings[id] = {held, told};
     this->hooks.on_event(event_type::upstream_changed, id.value(),
         upstream.address.value() + " by its own report " + std::to_string(held.begin) + "-"
             + std::to_string(held.end));
 }
 
-void site_knowledge::note_store_failed(store_topic topic)
+void site_state::note_store_failed(store_topic topic)
 {
-    this->own_disturbed = this->hooks.now();
-    this->has_store_failed = true;
-    this->is_entries_read_failed = this->is_entries_read_failed || topic == store_topic::upstreams;
+    this->own_store_disturbance = this->hooks.now();
+    this->has_store_read_failed = true;
+    this->has_last_entries_read_failed =
+        this->has_last_entries_read_failed || topic == store_topic::upstreams;
 }
 
-void site_knowledge::end_told_holdings()
+void site_state::expire_reported_holdings()
 {
     const time_point now = this->hooks.now();
-    for (const auto& [id, holding] : this->told_holdings) {
-        this->departed_entries[upstream_name(id)] = now;
+    for (const auto& [id, holding] : this->reported_holdings) {
+        this->overridden_entries[upstream_name(id)] = now;
     }
-    if (this->are_entries_old()) {
+    if (this->are_entries_stale()) {
         return;
     }
-    this->told_holdings.clear();
+    this->reported_holdings.clear();
     const auto is_over = [this, now](
                              const auto& item) { return now - item.second >= this->settings.lapse_grace; };
-    for (const auto& item : this->departed_entries) {
+    for (const auto& item : this->overridden_entries) {
         const std::optional<std::string> value = this->mirror.find(item.first);
         if (!is_over(item) || !value) {
             continue;
@@ -366,21 +368,21 @@
             this->put_read_upstream(item.first, *upstream);
         }
     }
-    std::erase_if(this->departed_entries, is_over);
+    std::erase_if(this->overridden_entries, is_over);
 }
 
-void site_knowledge::tidy()
+void site_state::tidy()
 {
     this->past.forget_old(
         [this](const upstream_id& id) { return this->directory.find(id) != nullptr; }, this->hooks.now());
-    this->end_told_holdings();
+    this->expire_reported_holdings();
     for (const upstream_id& id : this->directory.drop_lapsed(this->hooks.now())) {
         this->hooks.on_event(event_type::upstream_gone, upstream_name(id),
             "its entry has not come back since the store was away");
     }
 }
 
-void site_knowledge::fill_report(peer_report& report, const peer_report* asker) const
+void site_state::fill_report(peer_report& report, const peer_report* asker) const
 {
     const time_point now = this->hooks.now();
     report.bundle_version = this->own_version();
@@ -389,27 +391,27 @@
     if (this->mirror.end()) {
         report.entries_offset = this->mirror.end()->value();
     }
-    if (this->can_tell_disturbance()) {
+    if (this->knows_store_disturbance()) {
         report.store_disturbed_age = age_of(this->directory.store_disturbed_at(), now);
     }
-    for (const auto& [id, holding] : this->told_holdings) {
+    for (const auto& [id, holding] : this->reported_holdings) {
         report.holdings.push_back({id, holding.held.begin, holding.held.end, now - holding.told});
     }
-    report.leaving_upstreams = this->past.list_said_leaving(most_leaving_told);
+    report.leaving_upstreams = this->past.latest_leaving_notices(max_leaving_per_report);
     if (asker == nullptr) {
         return;
     }
     this->fill_changes(report, *asker);
 }
 
-void site_knowledge::fill_changes(peer_report& report, const peer_report& asker) const
+void site_state::fill_changes(peer_report& report, const peer_report& asker) const
 {
     const std::optional<std::uint64_t>& offset = asker.entries_offset;
     if (!report.entries_offset || offset.value_or(0) >= *report.entries_offset) {
         return;
     }
     const std::optional<log_offset> known = offset ? std::optional(log_offset(*offset)) : std::nullopt;
-    const std::size_t most = asker.wants_changes ? most_changes_told : 0;
+    const std::size_t most = asker.wants_changes ? max_changes_per_report : 0;
     if (this->mirror.lacks_everything(known) || this->mirror.has_more_changes(*known, most)) {
         report.withheld_offset = report.entries_offset;
         report.entries_offset.reset();
@@ -420,18 +422,18 @@
     }
 }
 
-void site_knowledge::take_answer(const peer_report& answer, time_point asked)
+void site_state::take_answer(const peer_report& answer, time_point asked)
 {
     if (answer.bundle_age && answer.bundle_version == this->own_version()) {
-        this->renew_confirmation(asked - *answer.bundle_age, {answer.sender.id});
+        this->confirm_bundle_as_of(asked - *answer.bundle_age, {answer.sender.id});
     }
-    this->take_entries(answer, asked);
+    this->apply_entries(answer, asked);
     for (const engine_holding& holding : answer.holdings) {
-        this->note_held(holding.id, {holding.begin, holding.end}, asked - holding.age);
+        this->record_reported_layers(holding.id, {holding.begin, holding.end}, asked - holding.age);
     }
 }
 
-void site_knowledge::take_entries(const peer_report& answer, time_point asked)
+void site_state::apply_entries(const peer_report& answer, time_point asked)
 {
     const std::uint64_t own_end = this->mirror.end() ? this->mirror.end()->value() : 0;
     if (!answer.entries_offset || *answer.entries_offset < own_end) {
@@ -442,7 +444,8 @@
         this->directory.set_store_disturbed(asked - *answer.store_disturbed_age);
     } else if (*answer.entries_offset > own_end) {
         const time_point now = this->hooks.now();
-        this->directory.set_store_disturbed(this->is_entries_read_failed ? now : this->own_disturbed);
+        this->directory.set_store_disturbed(
+            this->has_last_entries_read_failed ? now : this->own_store_disturbance);
     }
     std::vector<keyed_record> records;
     for (const entry_change& change : answer.changes) {
@@ -450,21 +453,21 @@
     }
     const log_offset end(*answer.entries_offset);
     if (answer.are_entries_whole) {
-        this->take_list(records, end);
+        this->apply_list(records, end);
     } else {
-        this->take_changes(records, end);
+        this->apply_changes(records, end);
     }
     if (answer.entries_age) {
-        this->renew_upstreams(asked - *answer.entries_age);
+        this->confirm_upstreams_as_of(asked - *answer.entries_age);
     }
 }
 
-bool site_knowledge::can_tell_disturbance() const
+bool site_state::knows_store_disturbance() const
 {
-    return this->has_store_failed || this->hooks.now() - this->started >= this->settings.lapse_grace;
+    return this->has_store_read_failed || this->hooks.now() - this->started >= this->settings.lapse_grace;
 }
 
-void site_knowledge::take_changes(const std::vector<keyed_record>& records, log_offset end)
+void site_state::apply_changes(const std::vector<keyed_record>& records, log_offset end)
 {
     // The changes lie somewhere before the end.
     const log_offset last(end.value() == 0 ? 0 : end.value() - 1);
@@ -475,18 +478,18 @@
     this->mirror.advance(end);
 }
 
-bool site_knowledge::is_bundle_fresh() const
+bool site_state::is_bundle_fresh() const
 {
     const std::optional<duration> age = this->bundle_age();
     return this->current && age && *age < this->settings.revoke_limit - this->settings.freshness_margin;
 }
 
-std::optional<duration> site_knowledge::bundle_age() const
+std::optional<duration> site_state::bundle_age() const
 {
     return age_of(this->bundle_confirmed, this->hooks.now());
 }
 
-std::optional<duration> site_knowledge::upstreams_age() const
+std::optional<duration> site_state::upstreams_age() const
 {
     return age_of(this->upstreams_confirmed, this->hooks.now());
 }
--- a/src/libs/site/storereading.h
+++ b/src/libs/site/storereadschedule.h
@@ -9,7 +9,7 @@
 namespace sailtiller {
 
 /// What a host's reads of the store must keep to.
-struct store_reading_settings
+struct store_read_settings
 {
     /// An accepted bundle must be in force on every host within this.
     duration apply_limit = std::chrono::seconds(2);
@@ -18,7 +18,7 @@
 };
 
 /// A host's place among those that may read the store.
-struct reading_place
+struct store_read_position
 {
     bool is_candidate = true; ///< it is one of the few that may come to read for all
     std::size_t fleet_size = 1; ///< hosts
@@ -30,25 +30,25 @@
 /// the candidates take turns in that: what the first one reads, the others hear. A store that is slow for a
 /// moment would else be asked by all hosts at once for all that has changed since, and again and again, as it
 /// couldn't answer in time.
-class store_reading
+class store_read_schedule
 {
 public:
-    explicit store_reading(store_reading_settings settings)
+    explicit store_read_schedule(store_read_settings settings)
         : settings(settings)
     {
     }
 
-    void set_settings(const store_reading_settings& next) { this->settings = next; }
-    void set_place(const reading_place& next) { this->place = next; }
+    void set_settings(const store_read_settings& next) { this->settings = next; }
+    void set_place(const store_read_position& next) { this->place = next; }
     /// This host has started. From here on it waits for what others know before its first read; without this
     /// call it reads at once.
     void note_start(time_point now);
     /// It has read the records of the other hosts, and its place is known.
     void note_records(time_point now);
     /// Another host will give what this one lacks.
-    void note_giver(time_point now);
+    void record_pending_transfer(time_point now);
     /// No other host was heard lately.
-    void note_alone(time_point now);
+    void record_no_peers(time_point now);
     /// How long a read for a newer bundle waits at the store. Its answer confirms the present one as of its
     /// question, so a reader's confirmation is up to two waits old.
     [[nodiscard]] duration bundle_wait() const;
@@ -69,7 +69,7 @@
 private:
     /// How long this host lets others go first.
     [[nodiscard]] duration turn() const;
-    [[nodiscard]] duration retrial_pause() const;
+    [[nodiscard]] duration topic_retry_pause() const;
     [[nodiscard]] bool is_due(
         store_topic topic, const std::optional<duration>& age, duration age_limit, time_point now) const;
     [[nodiscard]] bool is_first_read_due(time_point now) const
@@ -77,10 +77,10 @@
         return !this->first_read || now >= *this->first_read;
     }
     /// True if a topic that the store has failed should be tried again.
-    [[nodiscard]] bool is_retrial_due(store_topic topic, time_point now) const;
+    [[nodiscard]] bool is_retry_due(store_topic topic, time_point now) const;
 
-    store_reading_settings settings;
-    reading_place place;
+    store_read_settings settings;
+    store_read_position place;
     std::optional<time_point> first_read; ///< nothing: at once
     std::optional<time_point> records_read; ///< those of the other hosts
     /// The last read of each topic that the store failed. Kept apart, so that a store that answers one topic
--- a/src/libs/site/givebudget.cpp
+++ b/src/libs/site/transferbudget.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <site/givebudget.h>
+#include <site/transferbudget.h>
 
 namespace sailtiller {
 
-bool give_budget::may_give(std::size_t bytes, time_point now)
+bool transfer_budget::has_budget_for(std::size_t bytes, time_point now)
 {
     if (now >= this->interval_end) {
         this->interval_end = now + this->interval;
--- a/src/libs/site/givebudget.h
+++ b/src/libs/site/transferbudget.h
@@ -8,18 +8,18 @@
 namespace sailtiller {
 
 /// Bounds the bytes that a host gives to others in each interval; the first answer of one always fits.
-class give_budget
+class transfer_budget
 {
 public:
-    give_budget(std::size_t most_bytes, duration interval)
+    transfer_budget(std::size_t most_bytes, duration interval)
         : most_bytes(most_bytes)
         , interval(interval)
     {
     }
 
     /// True if so many bytes may be given now.
-    [[nodiscard]] bool may_give(std::size_t bytes, time_point now);
-    void note_given(std::size_t bytes) { this->given += bytes; }
+    [[nodiscard]] bool has_budget_for(std::size_t bytes, time_point now);
+    void record_sent_bytes(std::size_t bytes) { this->given += bytes; }
 
 private:
     std::size_t most_bytes;
--- a/src/libs/site/trialclaims.cpp
+++ b/src/libs/site/trialclaims.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /// After a failed read at the start.
-constexpr duration read_retry = std::chrono::milliseconds(700);
+constexpr duration initial_read_retry_interval = std::chrono::milliseconds(700);
 /// Reads for one claim, as another host may write between the read and the write.
-constexpr unsigned most_reads = 3;
+constexpr unsigned max_claim_reads = 3;
 
 std::string write_record(const trial_record& record)
 {
@@ -33,7 +33,7 @@
 void trial_claims::start()
 {
     const auto try_later = [this] {
-        this->hooks.timers.schedule_after(read_retry, [this] { this->start(); });
+        this->hooks.timers.schedule_after(initial_read_retry_interval, [this] { this->start(); });
     };
     if (!this->hooks.is_store_reached()) {
         try_later(); // other reads of this host find out about the store's return
@@ -62,11 +62,11 @@
 void trial_claims::claim(const request_content& content, const answer_handler& on_answer)
 {
     if (this->hooks.is_store_reached()) {
-        this->read_claim(content, most_reads, on_answer);
+        this->read_claim(content, max_claim_reads, on_answer);
         return;
     }
     this->hooks.timers.schedule_after(duration::zero(),
-        [this, content, on_answer] { this->withhold(content, "the store can't be asked", on_answer); });
+        [this, content, on_answer] { this->deny_trial(content, "the store can't be asked", on_answer); });
 }
 
 void trial_claims::read_claim(
@@ -76,13 +76,13 @@
         [this, content, reads_left, on_answer](const newest_page& page) {
             this->take_records(page.records);
             if (this->suspects.judge(content, this->hooks.timers.now()).judgement != send_judgement::trial) {
-                this->withhold(content, "another host has just tried it", on_answer);
+                this->deny_trial(content, "another host has just tried it", on_answer);
                 return;
             }
             this->write_claim(content, page.end, reads_left - 1, on_answer);
         },
         [this, content, on_answer](
-            const error& failure) { this->withhold(content, failure.what(), on_answer); });
+            const error& failure) { this->deny_trial(content, failure.what(), on_answer); });
 }
 
 void trial_claims::write_claim(
@@ -98,12 +98,12 @@
             } else if (reads_left > 0) {
                 this->read_claim(content, reads_left, on_answer);
             } else {
-                this->withhold(content, "other hosts claim trials at once", on_answer);
+                this->deny_trial(content, "other hosts claim trials at once", on_answer);
             }
         },
         [this, content, on_answer](const error& failure) {
             // It may have been written; then the trial is lost, which costs less than one too many.
-            this->withhold(content, failure.what(), on_answer);
+            this->deny_trial(content, failure.what(), on_answer);
         });
 }
 
@@ -116,7 +116,7 @@
     on_answer(true);
 }
 
-void trial_claims::withhold(
+void trial_claims::deny_trial(
     const request_content& content, const std::string& reason, const answer_handler& on_answer) const
 {
     this->hooks.on_event(event_type::trial_withheld, content, reason);
--- a/tests/auto/entry/tst_completionrequest.cpp
+++ b/tests/auto/entry/tst_completionrequest.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-struct bad_body
+struct malformed_body
 {
     const char* name;
     const char* body;
     const char* param;
 };
 
-class every_bad_body : public testing::TestWithParam<bad_body>
+class malformed_body_test : public testing::TestWithParam<malformed_body>
 {
 };
 
-TEST_P(every_bad_body, is_refused_with_the_field_that_is_wrong)
+TEST_P(malformed_body_test, is_refused_with_the_field_that_is_wrong)
 {
     const auto reading = read_completion_request(completion_kind::chat, GetParam().body);
     const auto* reason = std::get_if<caller_error>(&reading);
@@ -28,18 +28,18 @@
     EXPECT_EQ(reason->outcome, request_outcome::not_run);
 }
 
-INSTANTIATE_TEST_SUITE_P(entry, every_bad_body,
-    testing::Values(bad_body{"malformed", "{", ""}, bad_body{"not_an_object", "[]", ""},
-        bad_body{"no_model", R"({"messages":[{"role":"user","content":"a"}]})", "model"},
-        bad_body{"no_messages", R"({"model":"m"})", "messages"},
-        bad_body{"empty_messages", R"({"model":"m","messages":[]})", "messages"},
-        bad_body{"message_without_role", R"({"model":"m","messages":[{"content":"a"}]})", "messages"},
-        bad_body{"stream_is_text", R"({"model":"m","messages":[{"role":"u","content":"a"}],"stream":"yes"})",
-            "stream"},
-        bad_body{"no_tokens", R"({"model":"m","messages":[{"role":"u","content":"a"}],"max_tokens":0})",
+INSTANTIATE_TEST_SUITE_P(entry, malformed_body_test,
+    testing::Values(malformed_body{"malformed", "{", ""}, malformed_body{"not_an_object", "[]", ""},
+        malformed_body{"no_model", R"({"messages":[{"role":"user","content":"a"}]})", "model"},
+        malformed_body{"no_messages", R"({"model":"m"})", "messages"},
+        malformed_body{"empty_messages", R"({"model":"m","messages":[]})", "messages"},
+        malformed_body{"message_without_role", R"({"model":"m","messages":[{"content":"a"}]})", "messages"},
+        malformed_body{"stream_is_text",
+            R"({"model":"m","messages":[{"role":"u","content":"a"}],"stream":"yes"})", "stream"},
+        malformed_body{"no_tokens", R"({"model":"m","messages":[{"role":"u","content":"a"}],"max_tokens":0})",
             "max_tokens"},
-        bad_body{"two_choices", R"({"model":"m","messages":[{"role":"u","content":"a"}],"n":2})", "n"},
-        bad_body{
+        malformed_body{"two_choices", R"({"model":"m","messages":[{"role":"u","content":"a"}],"n":2})", "n"},
+        malformed_body{
             "doubled", R"({"model":"m","model":"n","messages":[{"role":"u","content":"a"}]})", "/model"}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/auto/gateway/tst_earlyrequests.cpp
+++ b/tests/auto/gateway/tst_startupqueue.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <gateway/earlyrequests.h>
+#include <gateway/startupqueue.h>
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-class early_requests_test : public testing::Test
+class startup_queue_test : public testing::Test
 {
 protected:
     bool hold(int number)
@@ -29,14 +29,14 @@
 
     time_point now{100s};
     timer_queue timers;
-    early_requests early{make_timer_hooks(this->timers, [this] { return this->now; }),
+    startup_queue early{make_timer_hooks(this->timers, [this] { return this->now; }),
         [this] { return this->is_ready; }, {1500ms, 3, 20ms}};
     bool is_ready = false;
     std::vector<int> served;
     std::vector<int> refused;
 };
 
-TEST_F(early_requests_test, what_came_before_the_configuration_is_served_in_its_order)
+TEST_F(startup_queue_test, what_came_before_the_configuration_is_served_in_its_order)
 {
     EXPECT_TRUE(this->hold(1));
     this->pass(400ms);
@@ -52,7 +52,7 @@
     EXPECT_TRUE(this->refused.empty());
 }
 
-TEST_F(early_requests_test, nothing_waits_for_longer_than_a_start_takes)
+TEST_F(startup_queue_test, nothing_waits_for_longer_than_a_start_takes)
 {
     this->pass(1s);
     EXPECT_TRUE(this->hold(1));
@@ -66,7 +66,7 @@
     EXPECT_TRUE(this->served.empty());
 }
 
-TEST_F(early_requests_test, no_more_wait_than_there_is_memory_for)
+TEST_F(startup_queue_test, no_more_wait_than_there_is_memory_for)
 {
     for (int number = 0; number < 3; ++number) {
         EXPECT_TRUE(this->hold(number));
--- a/tests/auto/site/tst_bundleexchange.cpp
+++ b/tests/auto/site/tst_bundleexchange.cpp
@@ -11,7 +11,7 @@
 
 /// Hosts with links of a given rate that tell each other their versions every 250 ms, eight at a time, and
 /// then exchange bundles. All under one paused clock.
-class test_fleet : public testing::Test
+class bundle_exchange_test : public testing::Test
 {
 protected:
     struct host
@@ -74,12 +74,12 @@
     }
 
     /// Every host hears the versions of eight others.
-    void exchange_reports()
+    void publish_versions()
     {
         for (const auto& item : this->hosts) {
             for (int turn = 0; turn < 8; ++turn) {
                 const host& other = *this->hosts[this->random() % this->hosts.size()];
-                item->exchange->note_holder(other.name, other.version);
+                item->exchange->record_holder(other.name, other.version);
             }
         }
     }
@@ -90,7 +90,7 @@
         while (this->now < end) {
             if (this->now >= this->next_reports) {
                 this->next_reports = this->now + 250ms;
-                this->exchange_reports();
+                this->publish_versions();
             }
             this->now += 5ms;
             this->timers.run_due(this->now);
@@ -127,7 +127,7 @@
     return text;
 }
 
-TEST_F(test_fleet, a_large_bundle_reaches_sixty_hosts_on_slow_links_in_two_seconds)
+TEST_F(bundle_exchange_test, a_large_bundle_reaches_sixty_hosts_on_slow_links_in_two_seconds)
 {
     this->add_hosts(60, 2'500'000); // 20 Mbit/s
     this->hosts[0]->version = 2;
@@ -140,7 +140,7 @@
     }
 }
 
-TEST_F(test_fleet, a_bundle_reaches_four_hundred_hosts_in_three_seconds)
+TEST_F(bundle_exchange_test, a_bundle_reaches_four_hundred_hosts_in_three_seconds)
 {
     this->add_hosts(400, 2'500'000);
     this->hosts[0]->version = 2;
@@ -149,13 +149,13 @@
     EXPECT_EQ(this->count_with(2), 400U);
 }
 
-TEST_F(test_fleet, one_holder_is_asked_at_a_time)
+TEST_F(bundle_exchange_test, one_holder_is_asked_at_a_time)
 {
     this->add_hosts(5, 2'500'000);
     for (std::size_t number = 1; number < 5; ++number) {
         this->hosts[number]->version = 2;
         this->hosts[number]->text = "new";
-        this->hosts[0]->exchange->note_holder(this->hosts[number]->name, 2);
+        this->hosts[0]->exchange->record_holder(this->hosts[number]->name, 2);
     }
     EXPECT_EQ(this->questions, 1U);
     this->pass(50ms);
@@ -163,7 +163,7 @@
     EXPECT_EQ(this->questions, 1U) << "there is nothing newer";
 }
 
-TEST_F(test_fleet, a_holder_that_has_given_enough_is_asked_again_later)
+TEST_F(bundle_exchange_test, a_holder_that_has_given_enough_is_asked_again_later)
 {
     this->add_hosts(3, 2'500'000);
     this->hosts[0]->version = 2;
@@ -176,7 +176,7 @@
     EXPECT_EQ(this->count_with(2), 3U);
 }
 
-TEST_F(test_fleet, malformed_bytes_are_told_and_change_nothing)
+TEST_F(bundle_exchange_test, malformed_bytes_are_told_and_change_nothing)
 {
     this->add_hosts(2, 2'500'000);
     this->hosts[0]->version = 2;
@@ -191,7 +191,7 @@
     EXPECT_EQ(this->hosts[1]->giver, this->hosts[0]->name);
 }
 
-TEST_F(test_fleet, a_host_without_a_bundle_gives_none)
+TEST_F(bundle_exchange_test, a_host_without_a_bundle_gives_none)
 {
     this->add_hosts(1, 1'000'000);
     this->hosts[0]->version = 0;
--- a/tests/auto/site/tst_entryexchange.cpp
+++ b/tests/auto/site/tst_entryexchange.cpp
@@ -21,9 +21,9 @@
 class entry_exchange_test : public testing::Test
 {
 protected:
-    site_knowledge_hooks make_knowledge_hooks()
+    site_state_hooks make_state_hooks()
     {
-        site_knowledge_hooks hooks;
+        site_state_hooks hooks;
         hooks.now = [this] { return this->now; };
         hooks.decode_upstream = &decode_upstream;
         hooks.on_bundle = [](const auto&) {};
@@ -39,7 +39,7 @@
         hooks.ask = [this](const known_host&, const std::optional<log_offset>& known, auto on_answer) {
             this->questions.push_back({known, std::move(on_answer)});
         };
-        hooks.on_taken = [this](log_offset end) { this->taken.push_back(end.value()); };
+        hooks.on_applied = [this](log_offset end) { this->taken.push_back(end.value()); };
         hooks.on_malformed = [this](const known_host&, const std::string&) { ++this->malformed; };
         return hooks;
     }
@@ -50,19 +50,19 @@
         for (std::size_t number = 0; number < count; ++number) {
             records.push_back({"upstream-" + std::to_string(number), std::string(200, 'x')});
         }
-        this->holder.take_all_upstreams(records, log_offset(count));
+        this->holder.apply_upstream_list(records, log_offset(count));
         this->holder.confirm_upstreams(this->now);
     }
 
     /// A report of the holder to one who knows nothing comes to the host that is behind.
-    void hear_holder()
+    void receive_holder_report()
     {
         peer_report answer;
         answer.withheld_offset = this->holder.upstreams_end()->value();
         this->taker.note_answer(answer);
     }
 
-    void answer_question(const std::optional<std::string>& bytes)
+    void reply_to_question(const std::optional<std::string>& bytes)
     {
         const auto question = this->questions.front();
         this->questions.erase(this->questions.begin());
@@ -79,8 +79,8 @@
     std::vector<asked_question> questions;
     std::vector<std::uint64_t> taken;
     int malformed = 0;
-    site_knowledge holder{{}, this->make_knowledge_hooks()};
-    site_knowledge behind{{}, this->make_knowledge_hooks()};
+    site_state holder{{}, this->make_state_hooks()};
+    site_state behind{{}, this->make_state_hooks()};
     entry_exchange giver{{}, this->holder, this->make_hooks()};
     entry_exchange taker{{}, this->behind, this->make_hooks()};
 };
@@ -89,27 +89,27 @@
 {
     this->fill_holder(3000);
     for (int report = 0; report < 8; ++report) {
-        this->hear_holder();
+        this->receive_holder_report();
     }
     ASSERT_EQ(this->questions.size(), 1U);
     EXPECT_FALSE(this->questions[0].known.has_value());
-    this->answer_question(this->giver.give(std::nullopt));
+    this->reply_to_question(this->giver.give(std::nullopt));
     EXPECT_EQ(this->taken, std::vector<std::uint64_t>{3000U});
     EXPECT_EQ(this->behind.upstreams().entries().size(), 3000U);
     EXPECT_EQ(this->behind.upstreams_age(), duration(0));
-    this->hear_holder();
+    this->receive_holder_report();
     EXPECT_TRUE(this->questions.empty()) << "it lacks nothing now";
 }
 
 TEST_F(entry_exchange_test, another_holder_is_asked_after_one_that_gave_nothing)
 {
     this->fill_holder(10);
-    this->hear_holder();
-    this->answer_question(std::nullopt);
-    this->hear_holder();
-    this->answer_question("nonsense");
+    this->receive_holder_report();
+    this->reply_to_question(std::nullopt);
+    this->receive_holder_report();
+    this->reply_to_question("nonsense");
     EXPECT_EQ(this->malformed, 1);
-    this->hear_holder();
+    this->receive_holder_report();
     EXPECT_EQ(this->questions.size(), 1U);
 }
 
@@ -124,7 +124,8 @@
         ASSERT_LE(bytes->size(), 3000U * 200U / 5U);
     }
     EXPECT_GE(answers, 1);
-    EXPECT_LE(given, entry_exchange_settings().most_given_bytes + given / static_cast<std::size_t>(answers));
+    EXPECT_LE(
+        given, entry_exchange_settings().max_bytes_per_interval + given / static_cast<std::size_t>(answers));
     this->now += 100ms;
     EXPECT_TRUE(this->giver.give(std::nullopt).has_value());
 }
@@ -134,16 +135,16 @@
     this->fill_holder(10);
     const auto packed = this->giver.give(std::nullopt);
     this->now += 400ms;
-    this->holder.take_upstream_record({"later", "x"}, log_offset(10));
+    this->holder.apply_upstream_record({"later", "x"}, log_offset(10));
     this->holder.confirm_upstreams(this->now);
-    this->hear_holder();
-    this->answer_question(this->giver.give(std::nullopt));
+    this->receive_holder_report();
+    this->reply_to_question(this->giver.give(std::nullopt));
     EXPECT_EQ(this->behind.upstreams_end(), log_offset(10));
     EXPECT_EQ(this->behind.upstreams_age(), duration(400ms));
-    this->hear_holder();
+    this->receive_holder_report();
     ASSERT_EQ(this->questions.size(), 1U);
     EXPECT_EQ(this->questions[0].known, log_offset(10));
-    this->answer_question(this->giver.give(log_offset(10)));
+    this->reply_to_question(this->giver.give(log_offset(10)));
     EXPECT_EQ(this->behind.upstreams_end(), log_offset(11));
     EXPECT_EQ(this->behind.upstreams_age(), duration(0));
 }
--- a/tests/auto/site/tst_siteknowledge.cpp
+++ b/tests/auto/site/tst_sitestate.cpp
@@ -75,10 +75,10 @@
         bool operator==(const confirmation&) const = default;
     };
     std::vector<confirmation> confirmations;
-    site_knowledge knowledge;
+    site_state knowledge;
 };
 
-class site_knowledge_test : public testing::Test
+class site_state_test : public testing::Test
 {
 protected:
     /// `asker` asks `other`; the answer takes `way` to come back.
@@ -92,7 +92,7 @@
         answer.sender.id = host_id("other");
         this->now += way;
         if (answer.bundle_version > question.bundle_version) {
-            asker.knowledge.take_bundle_text(other.knowledge.own_bundle_text(), {answer.sender.id});
+            asker.knowledge.apply_bundle_text(other.knowledge.own_bundle_text(), {answer.sender.id});
         }
         asker.knowledge.take_answer(answer, asked);
         this->fetch_entries(asker, other, answer);
@@ -106,7 +106,7 @@
         entry_exchange giver({}, other.knowledge, hooks);
         hooks.ask = [&giver](const known_host&, const std::optional<log_offset>& known,
                         const auto& on_answer) { on_answer(giver.give(known)); };
-        hooks.on_taken = [](log_offset) {};
+        hooks.on_applied = [](log_offset) {};
         hooks.on_malformed = [](const known_host&, const std::string& reason) { FAIL() << reason; };
         entry_exchange taker({}, asker.knowledge, std::move(hooks));
         taker.note_answer(answer);
@@ -117,25 +117,25 @@
     test_host second{this->now};
 };
 
-TEST_F(site_knowledge_test, engines_tell_what_they_hold_while_the_entries_are_old)
+TEST_F(site_state_test, engines_tell_what_they_hold_while_the_entries_are_old)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
     this->exchange(this->second, this->first);
     const auto held_by = [](const test_host& host) {
         return host.knowledge.upstreams().find(upstream_id("a"))->upstream.held;
     };
-    this->first.knowledge.note_held(upstream_id("a"), {0, 8}, this->now);
+    this->first.knowledge.record_reported_layers(upstream_id("a"), {0, 8}, this->now);
     EXPECT_TRUE(held_by(this->first).is_empty()) << "the entries are fresh, so they say it";
     this->now += 2s;
-    EXPECT_TRUE(this->first.knowledge.are_entries_old());
-    this->first.knowledge.note_held(upstream_id("a"), {0, 8}, this->now);
-    this->first.knowledge.note_held(upstream_id("unknown"), {0, 8}, this->now);
+    EXPECT_TRUE(this->first.knowledge.are_entries_stale());
+    this->first.knowledge.record_reported_layers(upstream_id("a"), {0, 8}, this->now);
+    this->first.knowledge.record_reported_layers(upstream_id("unknown"), {0, 8}, this->now);
     EXPECT_EQ(held_by(this->first), (layer_span{0, 8}));
     this->exchange(this->second, this->first);
     EXPECT_EQ(held_by(this->second), (layer_span{0, 8}));
     // The store is back: its entries hold again, and nothing is told beside them.
-    this->first.knowledge.take_upstream_record({"a", "leaving"}, log_offset(1));
+    this->first.knowledge.apply_upstream_record({"a", "leaving"}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
     this->first.knowledge.tidy();
     peer_report report;
@@ -144,17 +144,17 @@
     EXPECT_TRUE(held_by(this->first).is_empty());
 }
 
-TEST_F(site_knowledge_test, an_engines_word_does_not_outlast_an_entry_that_stays_as_it_was)
+TEST_F(site_state_test, an_engines_word_does_not_outlast_an_entry_that_stays_as_it_was)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}, {"b", "x"}}, log_offset(2));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.knowledge.confirm_upstreams(this->now);
     this->now += 2s;
     for (const char* name : {"a", "b"}) {
-        this->first.knowledge.note_held(upstream_id(name), {0, 8}, this->now);
+        this->first.knowledge.record_reported_layers(upstream_id(name), {0, 8}, this->now);
     }
     // The store is back. One engine's entry has changed and says so; the other one holds again what it held.
     this->first.knowledge.confirm_upstreams(this->now);
-    this->first.knowledge.take_upstream_record({"b", "leaving"}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"b", "leaving"}, log_offset(2));
     const auto held_by_a = [this] {
         this->first.knowledge.tidy();
         return this->first.knowledge.upstreams().find(upstream_id("a"))->upstream.held;
@@ -169,9 +169,9 @@
     EXPECT_TRUE(this->first.knowledge.upstreams().find(upstream_id("b"))->upstream.is_leaving);
 }
 
-TEST_F(site_knowledge_test, a_whole_list_is_told_only_when_it_is_asked_for_by_itself)
+TEST_F(site_state_test, a_whole_list_is_told_only_when_it_is_asked_for_by_itself)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(5));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     peer_report question;
     peer_report answer;
     this->first.knowledge.fill_report(answer, &question);
@@ -185,11 +185,11 @@
     EXPECT_NE(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_knowledge_test, a_few_changes_are_told_to_those_who_want_them)
+TEST_F(site_state_test, a_few_changes_are_told_to_those_who_want_them)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(5));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     this->exchange(this->second, this->first);
-    this->first.knowledge.take_upstream_record({"b", "x"}, log_offset(5));
+    this->first.knowledge.apply_upstream_record({"b", "x"}, log_offset(5));
     peer_report question;
     this->second.knowledge.fill_report(question, nullptr);
     peer_report answer;
@@ -206,12 +206,12 @@
 
 // Each of eight answers to a host that was behind held all changes: 986 hosts that started together moved
 // 13 MB each before the first request.
-TEST_F(site_knowledge_test, many_changes_are_told_only_when_they_are_asked_for_by_themselves)
+TEST_F(site_state_test, many_changes_are_told_only_when_they_are_asked_for_by_themselves)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(5));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     this->exchange(this->second, this->first);
     for (std::uint64_t offset = 5; offset < 105; ++offset) {
-        this->first.knowledge.take_upstream_record({"u" + std::to_string(offset), "x"}, log_offset(offset));
+        this->first.knowledge.apply_upstream_record({"u" + std::to_string(offset), "x"}, log_offset(offset));
     }
     peer_report question;
     this->second.knowledge.fill_report(question, nullptr);
@@ -225,7 +225,7 @@
 }
 
 // Hosts that knew of no bundle yet asked the store for one without end, all of them.
-TEST_F(site_knowledge_test, that_there_is_no_bundle_yet_is_confirmed_and_told_as_well)
+TEST_F(site_state_test, that_there_is_no_bundle_yet_is_confirmed_and_told_as_well)
 {
     this->first.knowledge.confirm_bundle(this->now);
     EXPECT_EQ(this->first.knowledge.bundle_age(), duration(0));
@@ -235,66 +235,66 @@
     EXPECT_TRUE(this->second.confirmations.empty());
 }
 
-TEST_F(site_knowledge_test, a_younger_start_under_the_same_name_ends_the_one_before_on_every_host)
+TEST_F(site_state_test, a_younger_start_under_the_same_name_ends_the_one_before_on_every_host)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "1000"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "1000"}}, log_offset(1));
     this->exchange(this->second, this->first);
     const upstream_id old = make_start_id("a", start_moment(1000));
     const upstream_id young = make_start_id("a", start_moment(2000));
     ASSERT_NE(this->second.knowledge.upstreams().find(old), nullptr);
     this->now += 1s;
-    this->first.knowledge.take_upstream_record({"a", "2000"}, log_offset(1));
+    this->first.knowledge.apply_upstream_record({"a", "2000"}, log_offset(1));
     this->exchange(this->second, this->first);
     for (const test_host* host : {&this->first, &this->second}) {
         EXPECT_EQ(host->outlived, std::vector<upstream_id>{old});
         EXPECT_EQ(host->knowledge.upstreams().find(old), nullptr);
         EXPECT_NE(host->knowledge.upstreams().find(young), nullptr);
     }
-    this->first.knowledge.take_upstream_record({"a", "1000"}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"a", "1000"}, log_offset(2));
     EXPECT_EQ(this->first.knowledge.upstreams().find(old), nullptr) << "written late";
     EXPECT_NE(this->first.knowledge.upstreams().find(young), nullptr);
 }
 
-TEST_F(site_knowledge_test, an_entry_that_names_none_to_use_ends_its_own_key_and_no_other)
+TEST_F(site_state_test, an_entry_that_names_none_to_use_ends_its_own_key_and_no_other)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}, {"b", "x"}}, log_offset(2));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_upstream_record({"a", "broken"}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"a", "broken"}, log_offset(2));
     this->exchange(this->second, this->first);
     for (const test_host* host : {&this->first, &this->second}) {
         EXPECT_EQ(host->knowledge.upstreams().find(upstream_id("a")), nullptr);
         EXPECT_NE(host->knowledge.upstreams().find(upstream_id("b")), nullptr);
     }
-    this->first.knowledge.take_upstream_record({"a", "x"}, log_offset(3));
+    this->first.knowledge.apply_upstream_record({"a", "x"}, log_offset(3));
     EXPECT_NE(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_knowledge_test, an_entry_that_names_none_to_use_is_logged_once_for_each_content)
+TEST_F(site_state_test, an_entry_that_names_none_to_use_is_logged_once_for_each_content)
 {
     const auto count_lines = [this] {
         return std::count(this->first.events.begin(), this->first.events.end(), "upstream_entry_unusable");
     };
-    this->first.knowledge.take_all_upstreams({{"a", "broken"}}, log_offset(1));
-    this->first.knowledge.take_all_upstreams({{"a", "broken"}}, log_offset(2));
-    this->first.knowledge.take_upstream_record({"a", "broken"}, log_offset(3));
+    this->first.knowledge.apply_upstream_list({{"a", "broken"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "broken"}}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"a", "broken"}, log_offset(3));
     EXPECT_EQ(count_lines(), 1);
     for (unsigned key = 0; key < 1000; ++key) {
-        this->first.knowledge.take_upstream_record(
+        this->first.knowledge.apply_upstream_record(
             {"k" + std::to_string(key), "broken"}, log_offset(4 + key));
     }
     EXPECT_EQ(count_lines(), 1001) << "another key";
 }
 
-TEST_F(site_knowledge_test, of_two_words_on_what_an_engine_holds_the_newer_one_counts)
+TEST_F(site_state_test, of_two_words_on_what_an_engine_holds_the_newer_one_counts)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
     this->exchange(this->second, this->first);
     this->now += 2s;
-    this->first.knowledge.note_held(upstream_id("a"), {0, 8}, this->now);
+    this->first.knowledge.record_reported_layers(upstream_id("a"), {0, 8}, this->now);
     this->exchange(this->second, this->first);
     this->now += 100ms;
-    this->first.knowledge.note_held(upstream_id("a"), {4, 12}, this->now);
+    this->first.knowledge.record_reported_layers(upstream_id("a"), {4, 12}, this->now);
     // The other host still tells the older word.
     this->exchange(this->first, this->second);
     const layer_span newer{4, 12};
@@ -305,23 +305,23 @@
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.held, newer);
 }
 
-TEST_F(site_knowledge_test, the_version_never_falls)
+TEST_F(site_state_test, the_version_never_falls)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
-    this->first.knowledge.take_bundle_record({"config", "5"});
-    this->first.knowledge.take_bundle_record({"config", "broken"});
-    this->first.knowledge.take_bundle_record({"other", "9"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "5"});
+    this->first.knowledge.apply_bundle_record({"config", "broken"});
+    this->first.knowledge.apply_bundle_record({"other", "9"});
     EXPECT_EQ(this->first.versions, std::vector<std::uint64_t>{7});
     EXPECT_EQ(this->first.knowledge.bundle()->version.value(), 7U);
 }
 
-TEST_F(site_knowledge_test, a_bundle_in_force_tells_who_gave_it_and_how_old_the_word_before_was)
+TEST_F(site_state_test, a_bundle_in_force_tells_who_gave_it_and_how_old_the_word_before_was)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
     this->exchange(this->second, this->first);
     this->now += 2414ms;
-    this->first.knowledge.take_bundle_record({"config", "11"});
+    this->first.knowledge.apply_bundle_record({"config", "11"});
     this->first.knowledge.confirm_bundle(this->now);
     this->now += 300ms;
     this->exchange(this->second, this->first);
@@ -333,9 +333,9 @@
             "from other, no bundle was confirmed before", "from other, known before as of 2714 ms ago"}));
 }
 
-TEST_F(site_knowledge_test, each_new_confirmation_tells_how_old_the_last_one_had_become)
+TEST_F(site_state_test, each_new_confirmation_tells_how_old_the_last_one_had_become)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
     this->exchange(this->second, this->first);
     EXPECT_TRUE(this->first.confirmations.empty()) << "nothing was confirmed before";
@@ -350,15 +350,15 @@
         this->second.confirmations, (std::vector<test_host::confirmation>{{host_id("other"), duration(2s)}}));
 }
 
-TEST_F(site_knowledge_test, without_a_bundle_nothing_is_fresh)
+TEST_F(site_state_test, without_a_bundle_nothing_is_fresh)
 {
     this->first.knowledge.confirm_bundle(this->now);
     EXPECT_FALSE(this->first.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_knowledge_test, a_bundle_stays_fresh_for_less_than_a_key_may_be_used)
+TEST_F(site_state_test, a_bundle_stays_fresh_for_less_than_a_key_may_be_used)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
     this->now += 4699ms;
     EXPECT_TRUE(this->first.knowledge.is_bundle_fresh());
@@ -366,18 +366,18 @@
     EXPECT_FALSE(this->first.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_knowledge_test, another_host_hands_on_a_newer_bundle)
+TEST_F(site_state_test, another_host_hands_on_a_newer_bundle)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
     this->exchange(this->second, this->first);
     EXPECT_EQ(this->second.versions, std::vector<std::uint64_t>{7});
     EXPECT_TRUE(this->second.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_knowledge_test, a_confirmation_counts_from_the_question_however_long_its_answer_took)
+TEST_F(site_state_test, a_confirmation_counts_from_the_question_however_long_its_answer_took)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
     this->now += 1s;
     this->exchange(this->second, this->first, 3s);
@@ -386,23 +386,23 @@
     EXPECT_FALSE(this->second.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_knowledge_test, a_host_that_is_behind_confirms_nothing_to_one_that_is_ahead)
+TEST_F(site_state_test, a_host_that_is_behind_confirms_nothing_to_one_that_is_ahead)
 {
-    this->first.knowledge.take_bundle_record({"config", "7"});
+    this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
-    this->second.knowledge.take_bundle_record({"config", "9"});
+    this->second.knowledge.apply_bundle_record({"config", "9"});
     this->exchange(this->second, this->first);
     EXPECT_FALSE(this->second.knowledge.bundle_age().has_value());
     EXPECT_EQ(this->second.knowledge.bundle()->version.value(), 9U);
 }
 
-TEST_F(site_knowledge_test, entries_reach_a_host_that_does_not_read_and_no_change_is_told_twice)
+TEST_F(site_state_test, entries_reach_a_host_that_does_not_read_and_no_change_is_told_twice)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}, {"b", "x"}}, log_offset(10));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(10));
     this->first.knowledge.confirm_upstreams(this->now);
     this->exchange(this->second, this->first);
     EXPECT_EQ(this->second.knowledge.upstreams().entries().size(), 2U);
-    this->first.knowledge.take_upstream_record({"b", "leaving"}, log_offset(10));
+    this->first.knowledge.apply_upstream_record({"b", "leaving"}, log_offset(10));
     this->exchange(this->second, this->first);
     EXPECT_TRUE(this->second.knowledge.upstreams().find(upstream_id("b"))->upstream.is_leaving);
     peer_report question;
@@ -412,38 +412,38 @@
     EXPECT_TRUE(answer.changes.empty());
 }
 
-TEST_F(site_knowledge_test, an_old_read_does_not_undo_what_another_host_told)
+TEST_F(site_state_test, an_old_read_does_not_undo_what_another_host_told)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "leaving"}}, log_offset(20));
+    this->first.knowledge.apply_upstream_list({{"a", "leaving"}}, log_offset(20));
     this->exchange(this->second, this->first);
-    this->second.knowledge.take_upstream_record({"a", "x"}, log_offset(15));
+    this->second.knowledge.apply_upstream_record({"a", "x"}, log_offset(15));
     EXPECT_TRUE(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.is_leaving);
 }
 
-TEST_F(site_knowledge_test, a_host_that_the_store_turns_away_believes_what_others_read_as_gone)
+TEST_F(site_state_test, a_host_that_the_store_turns_away_believes_what_others_read_as_gone)
 {
     this->now += 10s; // a host that has just started can't tell how the store was before
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(10));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(10));
     this->exchange(this->second, this->first);
     this->second.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_all_upstreams({}, log_offset(11));
+    this->first.knowledge.apply_upstream_list({}, log_offset(11));
     this->exchange(this->second, this->first);
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
 // The two lists differ here only since an entry came and went while the store was away: one host has read the
 // removal and the entry that followed, the other one has dropped its upstream for good.
-TEST_F(site_knowledge_test, what_changes_nothing_for_its_reader_reaches_those_for_whom_it_does)
+TEST_F(site_state_test, what_changes_nothing_for_its_reader_reaches_those_for_whom_it_does)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->exchange(this->second, this->first);
     this->first.knowledge.note_store_failed(store_topic::upstreams);
     this->second.knowledge.note_store_failed(store_topic::upstreams);
     for (test_host* host : {&this->first, &this->second}) {
-        host->knowledge.take_upstream_record({"a", std::nullopt}, log_offset(1));
+        host->knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(1));
     }
     // An entry as it was before: no change for its reader, who has kept the upstream.
-    this->second.knowledge.take_upstream_record({"a", "x"}, log_offset(2));
+    this->second.knowledge.apply_upstream_record({"a", "x"}, log_offset(2));
     this->exchange(this->first, this->second);
     this->now += 2s;
     this->first.knowledge.tidy();
@@ -452,41 +452,41 @@
     EXPECT_NE(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr)
         << "it knows all records up to the entry that came back";
     // Gone for good; for whoever has dropped the upstream, no change either.
-    this->first.knowledge.take_upstream_record({"a", std::nullopt}, log_offset(3));
+    this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(3));
     this->exchange(this->second, this->first);
     EXPECT_EQ(this->second.knowledge.upstreams_end()->value(), 4U);
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_knowledge_test, an_upstream_that_said_it_leaves_does_so_whatever_its_entry_says)
+TEST_F(site_state_test, an_upstream_that_said_it_leaves_does_so_whatever_its_entry_says)
 {
     const upstream_id a("a");
     const auto is_leaving = [&a](const test_host& host) {
         const directory_entry* entry = host.knowledge.upstreams().find(a);
         return entry != nullptr && entry->upstream.is_leaving;
     };
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.events.clear();
     this->first.knowledge.note_leaving(a);
     this->first.knowledge.note_leaving(a);
     EXPECT_TRUE(is_leaving(this->first));
     EXPECT_EQ(this->first.events, std::vector<std::string>{"upstream_leaving"}) << "once";
-    this->first.knowledge.take_upstream_record({"a", "x"}, log_offset(1));
+    this->first.knowledge.apply_upstream_record({"a", "x"}, log_offset(1));
     EXPECT_TRUE(is_leaving(this->first)) << "its entry is written again";
     this->first.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_upstream_record({"a", std::nullopt}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(2));
     EXPECT_TRUE(is_leaving(this->first)) << "its entry lapses";
     this->now += 2s;
     this->first.knowledge.tidy();
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(4));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(4));
     EXPECT_TRUE(is_leaving(this->first)) << "its entry is back after it was gone";
 }
 
-TEST_F(site_knowledge_test, a_leaving_entry_that_lapsed_stays_lapsed_as_its_upstream_says_the_same)
+TEST_F(site_state_test, a_leaving_entry_that_lapsed_stays_lapsed_as_its_upstream_says_the_same)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_upstream_record({"a", std::nullopt}, log_offset(1));
+    this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(1));
     this->first.knowledge.note_leaving(upstream_id("a"));
     EXPECT_TRUE(this->first.knowledge.upstreams().find(upstream_id("a"))->is_lapsed);
     this->now += 2s;
@@ -494,25 +494,24 @@
     EXPECT_EQ(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(
-    site_knowledge_test, who_said_that_it_leaves_is_told_to_other_hosts_and_forgotten_long_after_it_is_gone)
+TEST_F(site_state_test, who_said_that_it_leaves_is_told_to_other_hosts_and_forgotten_long_after_it_is_gone)
 {
     const auto told_by = [](const test_host& host) {
         peer_report report;
         host.knowledge.fill_report(report, nullptr);
         return report;
     };
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
-    this->second.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(1));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
+    this->second.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.note_leaving(upstream_id("a"));
-    this->second.knowledge.take_leaving(told_by(this->first));
+    this->second.knowledge.apply_leaving_notices(told_by(this->first));
     EXPECT_TRUE(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.is_leaving);
     EXPECT_EQ(told_by(this->second).leaving_upstreams, std::vector{upstream_id("a")}) << "it is told on";
-    this->now += past_upstreams::memory * 2;
+    this->now += retired_upstreams::retention * 2;
     this->first.knowledge.tidy();
     EXPECT_EQ(told_by(this->first).leaving_upstreams.size(), 1U) << "it is listed still";
-    this->first.knowledge.take_upstream_record({"a", std::nullopt}, log_offset(1));
-    this->now += past_upstreams::memory;
+    this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(1));
+    this->now += retired_upstreams::retention;
     this->first.knowledge.tidy();
     EXPECT_EQ(told_by(this->first).leaving_upstreams.size(), 1U);
     this->now += 1s;
@@ -520,26 +519,26 @@
     EXPECT_TRUE(told_by(this->first).leaving_upstreams.empty());
 }
 
-TEST_F(site_knowledge_test, each_step_of_an_entry_that_vanishes_while_the_store_is_away_is_told)
+TEST_F(site_state_test, each_step_of_an_entry_that_vanishes_while_the_store_is_away_is_told)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}, {"b", "x"}}, log_offset(2));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.events.clear();
     this->first.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_upstream_record({"a", std::nullopt}, log_offset(2));
-    this->first.knowledge.take_upstream_record({"b", std::nullopt}, log_offset(3));
-    this->first.knowledge.take_upstream_record({"b", "x"}, log_offset(4));
+    this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(2));
+    this->first.knowledge.apply_upstream_record({"b", std::nullopt}, log_offset(3));
+    this->first.knowledge.apply_upstream_record({"b", "x"}, log_offset(4));
     this->now += 2s;
     this->first.knowledge.tidy();
     EXPECT_EQ(this->first.events,
         (std::vector<std::string>{"upstream_lapsed", "upstream_lapsed", "upstream_back", "upstream_gone"}));
 }
 
-TEST_F(site_knowledge_test, entries_that_vanish_while_the_store_is_away_are_kept_for_a_while_everywhere)
+TEST_F(site_state_test, entries_that_vanish_while_the_store_is_away_are_kept_for_a_while_everywhere)
 {
-    this->first.knowledge.take_all_upstreams({{"a", "x"}}, log_offset(10));
+    this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(10));
     this->exchange(this->second, this->first);
     this->first.knowledge.note_store_failed(store_topic::upstreams);
-    this->first.knowledge.take_all_upstreams({}, log_offset(11));
+    this->first.knowledge.apply_upstream_list({}, log_offset(11));
     this->exchange(this->second, this->first);
     EXPECT_NE(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr);
     EXPECT_NE(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
--- a/tests/auto/site/tst_storereading.cpp
+++ b/tests/auto/site/tst_storereadschedule.cpp
@@ -19,7 +19,7 @@
 // they knew confirmed as of that moment, and looked again 2.6 s later. A second change that was confirmed 0.3
 // s after that round was in force 2.37 s later. The refusals said that the bundle had been the newest 2.4 s
 // ago.
-TEST(store_reading_test, changes_are_in_force_in_time_though_both_readers_are_cut_off_from_the_store)
+TEST(store_read_schedule_test, changes_are_in_force_in_time_though_both_readers_are_cut_off_from_the_store)
 {
     for (duration cut_for = 0ms; cut_for < 5s; cut_for += 200ms) {
         tests::site_fleet fleet(7);
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(store_reading_test, hosts_that_the_store_answers_take_the_readers_place)
+TEST(store_read_schedule_test, hosts_that_the_store_answers_take_the_readers_place)
 {
     for (const store_access access : {store_access::silent, store_access::refuses}) {
         tests::site_fleet fleet(7);
@@ -44,7 +44,7 @@
     }
 }
 
-TEST(store_reading_test, readers_that_are_answered_again_read_for_all_again)
+TEST(store_read_schedule_test, readers_that_are_answered_again_read_for_all_again)
 {
     tests::site_fleet fleet(7);
     fleet.set_access({0, 1}, store_access::silent);
@@ -59,7 +59,7 @@
     EXPECT_FALSE(fleet.is_reader(2));
 }
 
-TEST(store_reading_test, a_store_that_was_away_for_all_brings_a_change_in_time_once_it_is_back)
+TEST(store_read_schedule_test, a_store_that_was_away_for_all_brings_a_change_in_time_once_it_is_back)
 {
     tests::site_fleet fleet(7);
     fleet.set_access({0, 1, 2, 3, 4, 5, 6}, store_access::silent);
@@ -70,7 +70,7 @@
     EXPECT_LT(fleet.measure_delay(3), 500ms);
 }
 
-TEST(store_reading_test, only_the_readers_read_while_the_store_answers_them)
+TEST(store_read_schedule_test, only_the_readers_read_while_the_store_answers_them)
 {
     tests::site_fleet fleet(7);
     const std::size_t before = fleet.bundles().calls_made();
@@ -79,10 +79,10 @@
     EXPECT_LE(fleet.bundles().calls_made() - before, 2 * 100U + 2);
 }
 
-TEST(store_reading_test,
+TEST(store_read_schedule_test,
     a_topic_that_the_store_fails_keeps_a_host_from_reading_for_all_while_it_answers_another)
 {
-    store_reading reading({});
+    store_read_schedule reading({});
     const time_point now{100s};
     reading.note_failed(store_topic::upstreams, now);
     reading.note_answered(store_topic::bundles);
@@ -96,7 +96,7 @@
 
 // Hosts that ask the others in the same order hear what a reader knows only when its turn comes: 400 hosts
 // read the store 162 times a second, beside the two readers' 2.4.
-TEST(store_reading_test, only_the_readers_read_in_a_large_fleet)
+TEST(store_read_schedule_test, only_the_readers_read_in_a_large_fleet)
 {
     tests::site_fleet fleet(200, 4s);
     fleet.pass(5s);
@@ -106,14 +106,14 @@
     EXPECT_LT(fleet.measure_delay(2), 1s);
 }
 
-TEST(store_reading_test, a_host_that_starts_waits_for_the_others_before_it_reads)
+TEST(store_read_schedule_test, a_host_that_starts_waits_for_the_others_before_it_reads)
 {
     const time_point now{100s};
-    const auto is_due = [](const store_reading& reading, time_point at) {
+    const auto is_due = [](const store_read_schedule& reading, time_point at) {
         return reading.is_bundle_due(false, std::nullopt, at)
             && reading.are_upstreams_due(false, std::nullopt, at);
     };
-    store_reading reading({});
+    store_read_schedule reading({});
     reading.note_start(now);
     EXPECT_FALSE(is_due(reading, now + 9999ms));
     EXPECT_TRUE(is_due(reading, now + 10s)) << "the store has not taken its record";
@@ -123,25 +123,25 @@
     reading.note_records(now);
     EXPECT_FALSE(is_due(reading, now + 2399ms));
     EXPECT_TRUE(is_due(reading, now + 2400ms)) << "two seconds and its turn";
-    reading.note_giver(now + 2s);
+    reading.record_pending_transfer(now + 2s);
     EXPECT_FALSE(is_due(reading, now + 3999ms));
     EXPECT_TRUE(is_due(reading, now + 4s));
     reading.note_records(now);
-    reading.note_alone(now + 1999ms);
+    reading.record_no_peers(now + 1999ms);
     EXPECT_FALSE(is_due(reading, now + 1999ms));
-    reading.note_alone(now + 2s);
+    reading.record_no_peers(now + 2s);
     EXPECT_TRUE(is_due(reading, now + 2s));
 }
 
 // 986 hosts asked a slow store for all that had changed, all at once and again each second, for as long as it
 // could not answer them in time; none of them ever served a request.
-TEST(store_reading_test, hosts_that_are_no_candidates_take_turns_in_reading_for_themselves)
+TEST(store_read_schedule_test, hosts_that_are_no_candidates_take_turns_in_reading_for_themselves)
 {
     const time_point now{100s};
     int due_bundles = 0;
     int due_upstreams = 0;
     for (int number = 0; number < 1000; ++number) {
-        store_reading reading({.apply_limit = 5s, .revoke_limit = 5s});
+        store_read_schedule reading({.apply_limit = 5s, .revoke_limit = 5s});
         reading.set_place({.is_candidate = false, .fleet_size = 1000, .turn = number / 1000.0});
         due_bundles += reading.is_bundle_due(false, 3800ms, now) ? 1 : 0;
         due_upstreams += reading.are_upstreams_due(false, 2s, now) ? 1 : 0;
@@ -154,7 +154,7 @@
     EXPECT_LE(due_upstreams, 100);
 }
 
-TEST(store_reading_test, a_slow_store_is_asked_by_few_hosts_of_a_large_fleet_and_found_again)
+TEST(store_read_schedule_test, a_slow_store_is_asked_by_few_hosts_of_a_large_fleet_and_found_again)
 {
     tests::site_fleet fleet(200, 5s);
     fleet.pass(5s);
--- a/tests/auto/site/tst_upstreamentries.cpp
+++ b/tests/auto/site/tst_upstreamentries.cpp
@@ -176,7 +176,7 @@
     fleet.tell_leaving(3, "a");
     fleet.pass(leave_limit);
     fleet.upstreams().put({"a", std::nullopt});
-    fleet.pass(past_upstreams::memory + 5s);
+    fleet.pass(retired_upstreams::retention + 5s);
     for (std::size_t number = 0; number < fleet.size(); ++number) {
         EXPECT_TRUE(fleet.told_leaving(number).empty()) << "host " << number;
     }
--- a/tests/support/sitefleet.cpp
+++ b/tests/support/sitefleet.cpp
@@ -156,8 +156,7 @@
     item.name = {host_id(name), endpoint(name), data_hall_id(number % 2 == 0 ? "x" : "y")};
     item.reading.set_settings({.apply_limit = this->apply_limit, .revoke_limit = std::chrono::seconds(5)});
     item.table = std::make_unique<host_table>(item.name, host_table_settings{});
-    item.knowledge =
-        std::make_unique<site_knowledge>(site_knowledge_settings{}, this->make_knowledge_hooks());
+    item.knowledge = std::make_unique<site_state>(site_state_settings{}, this->make_state_hooks());
     item.exchange =
         std::make_unique<bundle_exchange>(bundle_exchange_settings{}, this->make_exchange_hooks(item));
     item.entries = std::make_unique<entry_exchange>(
@@ -172,9 +171,9 @@
     return made;
 }
 
-site_knowledge_hooks site_fleet::make_knowledge_hooks()
+site_state_hooks site_fleet::make_state_hooks()
 {
-    site_knowledge_hooks hooks;
+    site_state_hooks hooks;
     hooks.now = [this] { return this->now; };
     hooks.decode_bundle = &decode_bundle;
     hooks.decode_upstream = &decode_upstream;
@@ -196,7 +195,7 @@
             [this, holder, on_answer] { on_answer(this->find(holder.id).exchange->give()); });
     };
     hooks.take = [&item](const known_host& giver, const std::string& text) {
-        item.knowledge->take_bundle_text(text, {giver.id});
+        item.knowledge->apply_bundle_text(text, {giver.id});
     };
     hooks.on_malformed = [](const known_host&, const std::string&) {};
     return hooks;
@@ -211,7 +210,7 @@
             on_answer(this->is_lost() ? std::nullopt : this->find(holder.id).entries->give(known));
         });
     };
-    hooks.on_taken = [&item](log_offset end) { item.upstream_follower->skip_to(end); };
+    hooks.on_applied = [&item](log_offset end) { item.upstream_follower->skip_to(end); };
     hooks.on_malformed = [](const known_host&, const std::string&) {};
     return hooks;
 }
@@ -246,10 +245,10 @@
         return item.reading.is_bundle_due(this->is_reader(item), item.knowledge->bundle_age(), this->now);
     };
     hooks.on_all = [&item](const std::vector<keyed_record>& records, log_offset) {
-        item.knowledge->take_bundle_record(records.back());
+        item.knowledge->apply_bundle_record(records.back());
     };
     hooks.on_record = [&item](const keyed_record& record, log_offset) {
-        item.knowledge->take_bundle_record(record);
+        item.knowledge->apply_bundle_record(record);
     };
     hooks.on_confirmed = [&item](time_point asked) {
         item.reading.note_answered(store_topic::bundles);
@@ -266,10 +265,10 @@
             this->is_reader(item), item.knowledge->upstreams_age(), this->now);
     };
     hooks.on_all = [&item](const std::vector<keyed_record>& records, log_offset end) {
-        item.knowledge->take_all_upstreams(records, end);
+        item.knowledge->apply_upstream_list(records, end);
     };
     hooks.on_record = [&item](const keyed_record& record, log_offset offset) {
-        item.knowledge->take_upstream_record(record, offset);
+        item.knowledge->apply_upstream_record(record, offset);
     };
     hooks.on_confirmed = [&item](time_point asked) {
         item.reading.note_answered(store_topic::upstreams);
@@ -357,8 +356,8 @@
 void site_fleet::hear(host& item, const peer_report& report) const
 {
     item.table->note_heard(report, this->now);
-    item.knowledge->take_leaving(report);
-    item.exchange->note_holder(report.sender, report.bundle_version);
+    item.knowledge->apply_leaving_notices(report);
+    item.exchange->record_holder(report.sender, report.bundle_version);
 }
 
 void site_fleet::tidy(host& item)
--- a/tests/support/sitefleet.h
+++ b/tests/support/sitefleet.h
@@ -7,8 +7,8 @@
 #include <fleet/hosttable.h>
 #include <site/bundleexchange.h>
 #include <site/entryexchange.h>
-#include <site/siteknowledge.h>
-#include <site/storereading.h>
+#include <site/sitestate.h>
+#include <site/storereadschedule.h>
 #include <store/keyedfollower.h>
 
 #include <set>
@@ -53,18 +53,18 @@
         std::shared_ptr<store_access> access = std::make_shared<store_access>(store_access::answers);
         known_host name;
         std::unique_ptr<host_table> table;
-        std::unique_ptr<site_knowledge> knowledge;
+        std::unique_ptr<site_state> knowledge;
         std::unique_ptr<bundle_exchange> exchange;
         std::unique_ptr<entry_exchange> entries;
         std::unique_ptr<keyed_follower> bundle_follower;
         std::unique_ptr<keyed_follower> upstream_follower;
-        store_reading reading{{}};
+        store_read_schedule reading{{}};
         bool is_ended = false;
     };
 
     void start(host& item);
     std::unique_ptr<host> make_host(std::size_t number);
-    site_knowledge_hooks make_knowledge_hooks();
+    site_state_hooks make_state_hooks();
     bundle_exchange_hooks make_exchange_hooks(host& item);
     entry_exchange_hooks make_entry_hooks(host& item);
     keyed_follower_hooks make_follower_hooks(host& item, store_topic topic);
