--- a/src/libs/gateway/startupqueue.cpp
+++ b/src/libs/gateway/startupqueue.cpp
@@ -15,7 +15,7 @@
 
 bool startup_queue::hold(std::function<void()> serve, std::function<void()> refuse)
 {
-    if (this->timers.now() >= this->end() || this->waiting.size() >= this->limits.most) {
+    if (this->timers.now() >= this->end() || this->waiting.size() >= this->limits.max_requests) {
         return false;
     }
     this->waiting.push_back({std::move(serve), std::move(refuse)});
--- a/src/libs/gateway/startupqueue.h
+++ b/src/libs/gateway/startupqueue.h
@@ -13,9 +13,9 @@
 {
     /// Counted from the host's start. Reading the first configuration from the store takes 0.4 to 0.6 s on an
     /// eighth of a core; a store that has not answered by then may be away for long.
-    duration longest = std::chrono::milliseconds(1500);
+    duration max_wait = std::chrono::milliseconds(1500);
     /// A request of a few kilobytes and its connection take some 10 kB.
-    std::size_t most = 512;
+    std::size_t max_requests = 512;
     /// Between two looks at whether the host can judge them now.
     duration look_interval = std::chrono::milliseconds(20);
 };
@@ -44,7 +44,7 @@
     };
 
     void look();
-    [[nodiscard]] time_point end() const { return this->started + this->limits.longest; }
+    [[nodiscard]] time_point end() const { return this->started + this->limits.max_wait; }
 
     timer_hooks timers;
     std::function<bool()> is_ready;
--- a/src/libs/site/retiredupstreams.cpp
+++ b/src/libs/site/retiredupstreams.cpp
@@ -12,17 +12,17 @@
 
 bool retired_upstreams::record_leaving_notice(const upstream_id& id, time_point now)
 {
-    if (this->said.size() >= max_leaving_notices) {
+    if (this->leaving_notices.size() >= max_leaving_notices) {
         return false;
     }
-    return this->said.try_emplace(id, leaving_notice{now, now}).second;
+    return this->leaving_notices.try_emplace(id, leaving_notice{now, now}).second;
 }
 
 std::vector<upstream_id> retired_upstreams::latest_leaving_notices(std::size_t most) const
 {
     std::vector<const std::pair<const upstream_id, leaving_notice>*> latest;
-    latest.reserve(this->said.size());
-    for (const auto& item : this->said) {
+    latest.reserve(this->leaving_notices.size());
+    for (const auto& item : this->leaving_notices) {
         latest.push_back(&item);
     }
     keep_latest(latest, most, [](const auto& item) { return item.second.heard; });
@@ -51,10 +51,11 @@
 
 void retired_upstreams::forget_old(const std::function<bool(const upstream_id&)>& is_listed, time_point now)
 {
-    for (auto& [id, word] : this->said) {
+    for (auto& [id, word] : this->leaving_notices) {
         word.listed = is_listed(id) ? now : word.listed;
     }
-    std::erase_if(this->said, [now](const auto& item) { return now - item.second.listed > retention; });
+    std::erase_if(
+        this->leaving_notices, [now](const auto& item) { return now - item.second.listed > retention; });
     std::erase_if(this->ended, [now](const auto& item) { return now - item.second > retention; });
     if (now - this->history_begun > retention) {
         this->leaving.clear();
--- a/src/libs/site/retiredupstreams.h
+++ b/src/libs/site/retiredupstreams.h
@@ -40,7 +40,10 @@
 
     [[nodiscard]] bool has_ended(const upstream_id& id) const;
     [[nodiscard]] bool was_leaving(const upstream_id& id) const { return this->leaving.count(id) != 0; }
-    [[nodiscard]] bool has_leaving_notice(const upstream_id& id) const { return this->said.count(id) != 0; }
+    [[nodiscard]] bool has_leaving_notice(const upstream_id& id) const
+    {
+        return this->leaving_notices.count(id) != 0;
+    }
     /// The latest of those that said so, at most `most`.
     [[nodiscard]] std::vector<upstream_id> latest_leaving_notices(std::size_t most) const;
 
@@ -54,7 +57,7 @@
 
     std::map<upstream_id, time_point> ended; ///< and when that was known
     std::set<upstream_id> leaving;
-    std::map<upstream_id, leaving_notice> said;
+    std::map<upstream_id, leaving_notice> leaving_notices;
     time_point history_begun{}; ///< the clock's zero if the store never came back from a copy
 };
 
