--- a/src/libs/entry/callererror.cpp
+++ b/src/libs/entry/callererror.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What a caller may conclude and do (docs/operators/outcomes.md).
+/// Advice to the caller whether to send the request again (docs/operators/outcomes.md).
 std::string advice_for(request_outcome outcome)
 {
     switch (outcome) {
--- a/src/libs/entry/completionexchange.cpp
+++ b/src/libs/entry/completionexchange.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A caller that lets so much of its answer pile up is taken to be gone.
+/// Unsent bytes of an answer above which the caller is treated as disconnected.
 constexpr std::size_t max_queued_bytes = 1U << 20U;
 
 } // namespace
--- a/src/libs/entry/completionexchange.h
+++ b/src/libs/entry/completionexchange.h
@@ -6,12 +6,12 @@
 
 namespace sailtiller {
 
-/// One completion from the admitted request to the last byte of its answer: drives a stream relay and writes
-/// its tokens to the caller, streamed or whole.
+/// Serves one completion request from admission to the last byte of its answer: drives a stream relay and
+/// writes its tokens to the caller, streamed or as one body.
 class completion_exchange
 {
 public:
-    /// `on_finished` runs once, from the loop, when the exchange may be destroyed.
+    /// `on_finished` is called once, from the event loop, when the exchange may be destroyed.
     completion_exchange(entry_context& context, admitted_request request, completion_request wanted,
         std::function<void()> on_finished);
     ~completion_exchange();
--- a/src/libs/entry/completionrequest.cpp
+++ b/src/libs/entry/completionrequest.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t max_requested_tokens = 10'000'000;
 
-/// Ends the reading with the error for the caller.
+/// Thrown to end parsing with the error for the caller.
 struct request_rejected
 {
     caller_error reason;
--- a/src/libs/entry/completionrequest.h
+++ b/src/libs/entry/completionrequest.h
@@ -21,12 +21,12 @@
     completion_kind kind = completion_kind::chat;
     model_id model;
     std::string prompt; ///< the prompt, or the chat's messages as JSON text
-    std::string parameters; ///< every other field as JSON text; the engines read what they know
+    std::string parameters; ///< all other fields as JSON text; engines ignore unknown ones
     bool is_streamed = false;
-    std::uint32_t most_tokens = 0; ///< 0 if the caller set none
+    std::uint32_t most_tokens = 0; ///< 0 if the caller set no limit
 };
 
-/// Reads a request's body; gives the error for the caller if it is malformed.
+/// Parses a request's body; returns the error for the caller if it is malformed.
 std::variant<completion_request, caller_error> read_completion_request(
     completion_kind kind, const std::string& body);
 
--- a/src/libs/entry/entrycontext.h
+++ b/src/libs/entry/entrycontext.h
@@ -13,7 +13,7 @@
 
 namespace sailtiller {
 
-/// What all requests of a host share. Outlives every exchange.
+/// Objects shared by all requests of a host. Outlives every exchange.
 struct entry_context
 {
     timer_hooks timers;
@@ -27,7 +27,8 @@
     retry_budget& retries;
 };
 
-/// One request that was let in: who asked, under which bundle, and what every answer to it carries.
+/// An authenticated request: the account, the bundle under which it started, and the headers of all its
+/// answers.
 struct admitted_request
 {
     request_id id;
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -26,8 +26,8 @@
     return item;
 }
 
-/// The caller's word on whether its request may run twice; without it, a completion may and a service call
-/// follows its method.
+/// Reads whether the caller allows its request to run twice. Without the header, completions may be repeated,
+/// and service calls by their method.
 std::optional<bool> read_repeatable(const http_request& request)
 {
     const std::optional<std::string> text = find_header(request.headers, "x-sailtiller-repeatable");
@@ -115,8 +115,8 @@
     request.id = request_id(make_random_id(this->context.random));
     request.exchange = exchange;
     request.started_at = this->context.timers.now();
-    // Judged here, where every request passes: closed listeners leave the connections that are open, and what
-    // comes over those after the grace would run into the end of the stop.
+    // Checked here because every request passes through. Closing listeners leaves connections open, and
+    // requests on these after the grace period would be cut off at the end of the stop.
     if (this->stop.is_grace_over(request.started_at)) {
         this->refuse_while_stopping(*exchange, request.id);
         return std::nullopt;
--- a/src/libs/entry/serviceexchange.h
+++ b/src/libs/entry/serviceexchange.h
@@ -5,11 +5,11 @@
 
 namespace sailtiller {
 
-/// One call of a plain service from the admitted request to its answer.
+/// Serves one call of a plain service from admission to its answer.
 class service_exchange
 {
 public:
-    /// `on_finished` runs once, from the loop, when the exchange may be destroyed.
+    /// `on_finished` is called once, from the event loop, when the exchange may be destroyed.
     service_exchange(entry_context& context, admitted_request request, const plain_service& service,
         std::function<void()> on_finished);
 
--- a/src/libs/entry/servingstate.h
+++ b/src/libs/entry/servingstate.h
@@ -7,8 +7,8 @@
 
 namespace sailtiller {
 
-/// Everything that one bundle means for serving on this host. Made when the bundle takes force; a request
-/// keeps the one under which it started.
+/// Indexes and policies built from one bundle for serving on this host. Created when the bundle takes force;
+/// a request keeps the state under which it started.
 class serving_state
 {
 public:
@@ -19,11 +19,11 @@
     [[nodiscard]] generation_number generation() const { return this->number; }
     [[nodiscard]] const account_index& accounts() const { return this->keys; }
     [[nodiscard]] const routing_table& routes() const { return this->table; }
-    /// Null if there is no such model.
+    /// Returns null if there is no such model.
     [[nodiscard]] const model* find_model(const model_id& name) const;
-    /// The service whose prefix the path has; null if there is none.
+    /// Returns the service whose prefix matches the path; null if there is none.
     [[nodiscard]] const plain_service* find_service(std::string_view path) const;
-    /// The policy that applies to an account.
+    /// Returns the policy that applies to an account.
     [[nodiscard]] const chain_policy& policy_for(const client_account& account) const;
 
 private:
--- a/src/libs/gateway/gatewayservice.cpp
+++ b/src/libs/gateway/gatewayservice.cpp
@@ -34,8 +34,9 @@
 {
     const time_point arrived = this->context.timers.now();
     const caller_request request = this->context.codec.decode_request(exchange->request());
-    // Judged here, where every request passes: closing listeners and connections at rest leaves those that
-    // carry a request or its beginning, and what came over them ran into the end of the stop.
+    // Checked here because every request passes through. Closing listeners and idle connections leaves
+    // connections that carry a request or the start of one, whose later requests would be cut off at the end
+    // of the stop.
     if (this->stop.is_grace_over(arrived)) {
         this->refuse_while_stopping(exchange, request);
         return;
@@ -62,7 +63,7 @@
     const auto refuse = [this, exchange, request] { this->refuse_without_bundle(exchange, request); };
     const auto serve = [this, exchange, request, arrived, refuse] {
         if (exchange->has_caller_left()) {
-            refuse(); // nobody reads it
+            refuse(); // the caller has disconnected
             return;
         }
         this->judge(exchange, request, arrived);
@@ -184,7 +185,8 @@
 {
     const time_point now = this->context.timers.now();
     std::size_t broken_off = 0;
-    const std::map<std::uint64_t, active_request> last = this->under_way; // each takes itself out
+    const std::map<std::uint64_t, active_request> last =
+        this->under_way; // a copy: each request removes itself on its end
     for (const auto& [key, running] : last) {
         if (const std::shared_ptr<plain_delivery> plain = running.plain.lock()) {
             plain->end_for_stop();
--- a/src/libs/gateway/gatewayservice.h
+++ b/src/libs/gateway/gatewayservice.h
@@ -11,8 +11,8 @@
 class plain_delivery;
 class stream_delivery;
 
-/// Takes callers' requests for the routes of a site's bundle: finds the route and the account, and starts the
-/// delivery. A request keeps the bundle with which it began.
+/// Accepts callers' requests for the routes of a site's bundle: finds the route and the account, and starts
+/// the delivery. A request keeps the bundle under which it started.
 class gateway_service
 {
 public:
@@ -22,56 +22,56 @@
     {
     }
 
-    /// Requests that come from now on are judged by this bundle.
+    /// Sets the bundle for requests that arrive from now on.
     void set_bundle(std::shared_ptr<const site_bundle> next) { this->bundle = std::move(next); }
     [[nodiscard]] const std::shared_ptr<const site_bundle>& current_bundle() const { return this->bundle; }
 
-    /// These upstreams are dead; the streams over them go on without them.
+    /// Moves streams off dead upstreams.
     void leave_upstreams(const std::vector<upstream_id>& ids);
-    /// A dead upstream has given a sign of life.
+    /// Marks an upstream that was dead as alive again for all streams.
     void keep_upstream(const upstream_id& id);
-    /// Leads streams around engines that have given up layers of their paths.
+    /// Changes the paths of streams whose engines no longer hold layers of these paths.
     void leave_given_up_layers();
-    /// Answers a caller's request, at once or by a delivery.
+    /// Answers a caller's request immediately, queues it, or starts a delivery for it.
     void handle(const std::shared_ptr<http_exchange>& exchange);
     [[nodiscard]] std::size_t requests_in_flight() const
     {
         return this->under_way.size() + this->early.count();
     }
-    /// The host has been told to stop: takes nothing once the grace is over.
+    /// Starts a planned stop: new requests are refused once `grace` has passed.
     void begin_stop(duration grace);
-    /// The stop's limit has come: ends every request that is under way, with a last answer where none has
-    /// begun. Returns how many answers were broken off.
+    /// Ends every request in progress at the time limit of the stop, with a final answer if none has begun.
+    /// Returns the number of answers cut off.
     std::size_t end_for_stop();
 
 private:
     struct active_request
     {
         time_point arrived;
-        std::weak_ptr<stream_delivery> stream; ///< one of the two is empty
+        std::weak_ptr<stream_delivery> stream; ///< exactly one of the two is set
         std::weak_ptr<plain_delivery> plain;
     };
 
-    /// True once there was a bundle that was known to be the newest.
+    /// True from the first time that a bundle was in force and confirmed as the newest.
     [[nodiscard]] bool can_route();
-    /// The request waits until it can be judged; false if it must not.
+    /// Queues the request until the host is ready; returns false if it can't be queued.
     bool hold(
         const std::shared_ptr<http_exchange>& exchange, const caller_request& request, time_point arrived);
     void refuse_without_bundle(const std::shared_ptr<http_exchange>& exchange, const caller_request& request);
-    /// Answers a request that was read at `arrived`; there is a bundle.
+    /// Routes a request that was received at `arrived`; requires a bundle.
     void judge(
         const std::shared_ptr<http_exchange>& exchange, const caller_request& request, time_point arrived);
-    /// Finds the caller's account where the route wants one; false if the key is missing or not known.
+    /// Finds the caller's account if the route requires one; returns false if the key is missing or unknown.
     [[nodiscard]] bool admit(delivery_order& order) const;
     void deliver(const std::shared_ptr<http_exchange>& exchange, delivery_order order);
     [[nodiscard]] static caller_hooks make_caller_hooks(const std::shared_ptr<http_exchange>& exchange);
-    /// One of the route's targets, by their weights.
+    /// Chooses one of the route's targets at random by weight.
     [[nodiscard]] service_id choose_service(const service_route& route) const;
-    /// Calls `action` for each stream under way; streams may end meanwhile.
+    /// Calls `action` for each stream in progress; `action` may end streams.
     void visit_streams(const std::function<void(stream_delivery&)>& action) const;
     void refuse(const std::shared_ptr<http_exchange>& exchange, const caller_request& request, int status,
         const std::string& reason);
-    /// Sends the caller to another host at once, as this one stops.
+    /// Refuses a request during a stop, with a short Retry-After so that the caller tries another host.
     void refuse_while_stopping(const std::shared_ptr<http_exchange>& exchange, const caller_request& request);
     void answer_refused(const std::shared_ptr<http_exchange>& exchange, const caller_request& request,
         const http_response& response, const std::string& reason);
--- a/src/libs/gateway/startupqueue.cpp
+++ b/src/libs/gateway/startupqueue.cpp
@@ -28,7 +28,7 @@
 void startup_queue::look()
 {
     if (this->waiting.empty()) {
-        return; // all were refused meanwhile
+        return; // all have been refused since
     }
     if (this->is_ready()) {
         const std::vector<queued_request> held = std::exchange(this->waiting, {});
--- a/src/libs/gateway/startupqueue.h
+++ b/src/libs/gateway/startupqueue.h
@@ -8,31 +8,31 @@
 
 namespace sailtiller {
 
-/// How long requests may wait until a host can judge them, and how many.
+/// Bounds for requests that wait until the host is ready.
 struct startup_queue_limits
 {
-    /// Counted from the host's start. Reading the first configuration from the store takes 0.4 to 0.6 s on an
-    /// eighth of a core; a store that has not answered by then may be away for long.
+    /// Longest wait, counted from the host's start. Reading the first configuration from the store takes 0.4
+    /// to 0.6 s on an eighth of a core; a store that has not answered by then may stay unavailable for long.
     duration max_wait = std::chrono::milliseconds(1500);
-    /// A request of a few kilobytes and its connection take some 10 kB.
+    /// A request of a few kilobytes takes about 10 kB together with its connection.
     std::size_t max_requests = 512;
-    /// Between two looks at whether the host can judge them now.
+    /// Interval between checks whether the host is ready.
     duration look_interval = std::chrono::milliseconds(20);
 };
 
-/// Requests that came before the host had a configuration that it knows to be the newest. After all hosts
-/// were down, their callers come back at once, and many of them don't try a second time: of 64 hosts that
-/// were killed together, 536 requests were refused in the 0.4 s until the configuration was read.
+/// Queue of requests that arrive before the host has a configuration confirmed as the newest. After all hosts
+/// were down, callers reconnect at once, and many do not retry: when 64 hosts were killed together, 536
+/// requests were refused in the 0.4 s until the configuration was read.
 class startup_queue
 {
 public:
-    /// `is_ready`: true once the host can judge requests.
+    /// `is_ready` returns true once the host can route requests.
     startup_queue(timer_hooks timers, std::function<bool()> is_ready, startup_queue_limits limits);
 
-    /// Holds a request until the host is ready; what waits is then served in the order in which it came.
-    /// Returns false, and does nothing, if it must not wait.
+    /// Queues a request until the host is ready; requests are then served in the order of their arrival.
+    /// Returns false, and does nothing, if the wait time is over or the queue is full.
     bool hold(std::function<void()> serve, std::function<void()> refuse);
-    /// Nothing that waits can be served any more.
+    /// Refuses all queued requests.
     void refuse_all();
     [[nodiscard]] std::size_t count() const { return this->waiting.size(); }
 
--- a/src/libs/site/bundleexchange.cpp
+++ b/src/libs/site/bundleexchange.cpp
@@ -39,7 +39,7 @@
     if (!this->is_fetching) {
         return;
     }
-    // Any of them: hosts that ask the same one at once would wait for each other.
+    // Chosen at random: hosts that request from the same holder at once would wait for each other.
     const std::size_t drawn = this->hooks.random() % this->holders.size();
     const known_host holder =
         std::next(this->holders.begin(), static_cast<std::ptrdiff_t>(drawn))->second.host;
@@ -61,7 +61,7 @@
             this->hooks.on_malformed(holder, malformed.reason());
         }
     }
-    // Whoever could not give it, or gave something else, is asked again only once it has told of it again.
+    // A holder that sent nothing or something else is asked again only after it reports the version again.
     this->holders.erase(holder.id);
     this->drop_outdated_holders();
     if (this->holders.empty()) {
--- a/src/libs/site/entryexchange.cpp
+++ b/src/libs/site/entryexchange.cpp
@@ -27,7 +27,7 @@
     });
 }
 
-/// The changes are packed already.
+/// `packed` holds the compressed changes.
 std::string write_answer(const peer_report& answer, const std::string& packed)
 {
     const json bytes = json::binary(std::vector<std::uint8_t>(packed.begin(), packed.end()));
@@ -77,7 +77,7 @@
 {
     this->is_fetching = false;
     if (!bytes) {
-        return; // the next report names a host that may give them
+        return; // the next report names another host to ask
     }
     try {
         peer_report answer = read_answer(*bytes, this->settings.max_text_bytes);
@@ -115,7 +115,7 @@
     }
     const time_point now = this->hooks.now();
     if (!this->budget.has_budget_for(1, now)) {
-        return std::nullopt; // before the work of packing them
+        return std::nullopt; // checked before the cost of compression
     }
     peer_report answer;
     this->knowledge.fill_report(answer, nullptr);
--- a/src/libs/site/entryexchange.h
+++ b/src/libs/site/entryexchange.h
@@ -6,49 +6,51 @@
 
 namespace sailtiller {
 
-/// Bounds of the exchange.
+/// Limits of the exchange.
 struct entry_exchange_settings
 {
-    /// Bytes of entries that a host gives in one interval, at the least one answer: about half of the
-    /// smallest link that hosts have (20 Mbit/s).
+    /// Bytes of entries that a host sends per interval; one answer is always sent. About half of the slowest
+    /// link of a host (20 Mbit/s).
     std::size_t max_bytes_per_interval = std::size_t{128} * 1024;
     duration budget_interval = std::chrono::milliseconds(100);
-    /// All entries are packed anew only so often; what has changed since is asked for next.
+    /// Minimum interval between compressions of all entries; later changes are requested separately.
     duration repack_interval = std::chrono::milliseconds(500);
-    /// Guards against malformed bytes of a peer: 100,000 entries.
+    /// Guards against malformed data from a peer: 100,000 entries.
     std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 };
 
-/// What the exchange needs from outside.
+/// Callbacks of the exchange.
 struct entry_exchange_hooks
 {
     clock_function now;
-    /// Asks a host for what this one lacks, which knows the entries up to `known`; it gives bytes, or
-    /// nothing.
+    /// Requests from a host the entries that this one lacks, which has them up to `known`; the callback gets
+    /// the answer, or nothing.
     std::function<void(const known_host&, const std::optional<log_offset>& known,
         std::function<void(const std::optional<std::string>&)>)>
         ask;
-    /// The entries are known up to there.
+    /// Called when the entries are known up to `end`.
     std::function<void(log_offset end)> on_applied;
-    /// Tells about bytes that can't be read.
+    /// Called for malformed data.
     std::function<void(const known_host&, const std::string& reason)> on_malformed;
 };
 
-/// How the upstreams' entries get from host to host when more has changed than reports tell. A host that is
-/// behind asks one other at a time for what it lacks, so that each change comes once, and packed.
+/// Distributes upstream entries between hosts when more has changed than reports carry. An outdated host
+/// requests the missing entries from one other host at a time, so that each change is sent once, and
+/// compressed.
 class entry_exchange
 {
 public:
     entry_exchange(entry_exchange_settings settings, site_state& knowledge, entry_exchange_hooks hooks);
 
-    /// An answer of another host came; it may know more of the entries than it told.
+    /// Handles a report of another host, which may have more entries than the report carried.
     void note_answer(const peer_report& answer);
-    /// What one who asks gets; nothing if there is nothing new, or enough was given for now.
+    /// Returns the answer for a peer; nothing if there is nothing new or the budget of the interval is used
+    /// up.
     std::optional<std::string> give(const std::optional<log_offset>& known);
 
 private:
     void take(const known_host& holder, const std::optional<std::string>& bytes, time_point asked);
-    /// All entries, packed, and since when they are known to be the newest.
+    /// All entries, compressed, and the time as of which they are confirmed.
     struct packed_list
     {
         std::string packed;
@@ -67,7 +69,7 @@
     transfer_budget budget;
 };
 
-/// A question for entries as CBOR: up to where they are known, if at all.
+/// Encodes a query for entries as CBOR: the offset up to which they are known, if any.
 std::string encode_entry_question(const std::optional<log_offset>& known);
 /// Throws `error` if the bytes are malformed.
 std::optional<log_offset> decode_entry_question(const std::string& bytes);
--- a/src/libs/site/retiredupstreams.cpp
+++ b/src/libs/site/retiredupstreams.cpp
@@ -38,13 +38,13 @@
 {
     this->history_begun = now;
     for (auto& [id, at] : this->ended) {
-        at = now; // its old entry may stay from now on
+        at = now; // its old entry may be present from now on
     }
 }
 
 bool retired_upstreams::has_ended(const upstream_id& id) const
 {
-    // In the history in which it ended, a list that names it was written later and says what holds.
+    // Within the same history, a list with this upstream was written later and is valid.
     const auto found = this->ended.find(id);
     return found != this->ended.end() && found->second <= this->history_begun;
 }
--- a/src/libs/site/sitestate.cpp
+++ b/src/libs/site/sitestate.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// The record under which operators keep the bundle.
+/// Key of the record that holds the bundle.
 constexpr std::string_view bundle_key = "config";
-/// Names whose unusable values are remembered as logged; one that writes many is logged again.
+/// Maximum number of names with a logged unusable value; above it, values are logged again.
 constexpr std::size_t max_logged_unusable_entries = 256;
-/// In one report; some 4 kB. Whoever lacks more asks one host for it by itself.
+/// Maximum number of changes in one report, about 4 kB. Hosts that lack more request them from one host.
 constexpr std::size_t max_changes_per_report = 16;
-/// In one report; 0.7 kB. More leave at once only as a hall is emptied, and each host hears of its own.
+/// Maximum number of leaving notices in one report, 0.7 kB. More upstreams leave at once only when a data
+/// hall is emptied, and then each host gets the notices of its own upstreams.
 constexpr std::size_t max_leaving_per_report = 32;
 
 std::optional<duration> age_of(const std::optional<time_point>& moment, time_point now)
@@ -23,7 +24,7 @@
     return moment ? std::optional(std::max(now - *moment, duration::zero())) : std::nullopt;
 }
 
-/// For the log. The age tells how long this host would have served by the bundle before.
+/// Describes the source of a bundle for the log. `age` is the age of the previous confirmation.
 std::string describe_bundle_source(const bundle_source& source, const std::optional<duration>& age)
 {
     const std::string giver = source.peer ? "from " + source.peer->value() : "read from the store";
@@ -176,7 +177,7 @@
     if (known == nullptr) {
         return;
     }
-    const upstream_id id = known->upstream.id; // a copy: the entry may end with it
+    const upstream_id id = known->upstream.id; // a copy: the call may remove the entry
     take(id);
     const bool is_kept = this->directory.find_named(name) != nullptr;
     if (!is_kept) {
@@ -198,7 +199,7 @@
 {
     this->record_entries_read();
     if (this->mirror.end() && offset < *this->mirror.end()) {
-        return; // another host has told what came of it since
+        return; // newer entries have arrived from another host
     }
     this->directory.set_store_disturbed(this->own_store_disturbance);
     this->put_upstream(record);
@@ -285,7 +286,7 @@
 void site_state::apply_leaving_notices(const peer_report& report)
 {
     for (const upstream_id& id : report.leaving_upstreams) {
-        // Of one that is gone, hosts would remind each other for ever.
+        // Notices of removed upstreams would circulate between hosts forever.
         if (this->directory.find(id) != nullptr) {
             this->apply_leaving_notice(id, "it told " + report.sender.id.value());
         }
@@ -439,7 +440,7 @@
     if (!answer.entries_offset || *answer.entries_offset < own_end) {
         return;
     }
-    // Whether a missing entry can be believed depends on how the store was to the host that read it.
+    // Whether a missing entry counts as removed depends on the state of the store for the host that read it.
     if (answer.store_disturbed_age) {
         this->directory.set_store_disturbed(asked - *answer.store_disturbed_age);
     } else if (*answer.entries_offset > own_end) {
@@ -469,7 +470,7 @@
 
 void site_state::apply_changes(const std::vector<keyed_record>& records, log_offset end)
 {
-    // The changes lie somewhere before the end.
+    // The exact offsets of the changes before the end are not known.
     const log_offset last(end.value() == 0 ? 0 : end.value() - 1);
     for (const keyed_record& record : records) {
         this->put_upstream(record);
--- a/src/libs/site/storereadschedule.cpp
+++ b/src/libs/site/storereadschedule.cpp
@@ -9,34 +9,35 @@
 
 using std::chrono::milliseconds;
 
-/// How long a read waits for a newer bundle at the most; each answer also confirms the present one.
+/// Longest wait of a read for a newer bundle; each answer also confirms the current one.
 constexpr duration longest_bundle_wait = milliseconds(1000);
-/// A reader confirms the bundle as of the begin of a wait, so up to two waits ago, and tells it to the others
-/// in half a second more: with five waits in the limit that is nine tenths of the age at which they read for
-/// themselves, so that they need not while the readers read.
+/// Number of bundle waits within the limit. A reader confirms the bundle as of the start of a wait, up to two
+/// waits ago, and reports to other hosts within half a second more. With five waits in the limit this is nine
+/// tenths of the age at which the others read for themselves, so they do not read while the readers work.
 constexpr int bundle_waits_per_limit = 5;
-/// Share of the limit at which a host no longer waits for the readers' word, in quarters. The last quarter is
-/// left to its own read and to passing on what it finds. At 2.6 s, beyond the limit of 2 s, changes were in
-/// force up to 2.4 s after their confirmation while both readers were cut off from the store.
+/// Age at which a host reads for itself, in quarters of the limit. The last quarter is left for its read and
+/// for forwarding the result. At 2.6 s, above the limit of 2 s, changes took force up to 2.4 s after their
+/// confirmation while both readers were cut off from the store.
 constexpr int own_read_quarters = 3;
-/// A host that the store has failed tries again this often, so that it can be a reader again: as a reader it
-/// would read two or three times as often.
+/// Minimum interval of retries after a failed read, after which the host can be a reader again: a reader
+/// reads two or three times as often.
 constexpr duration min_retry_pause = milliseconds(1000);
-/// The same for all hosts but the candidates together.
+/// The same for all hosts except candidates together.
 constexpr duration fleet_read_retry_interval = milliseconds(20);
-/// Hosts that want to read go one after another at this interval, within the longest turn.
+/// Hosts read one after another at this interval, up to the longest delay.
 constexpr duration read_stagger_interval = milliseconds(8);
 constexpr duration longest_turn = std::chrono::seconds(8);
-/// A host that starts waits so long for what others know before it reads for itself; candidates don't.
+/// Time for which a starting host waits for the state of others before its first read; candidates do not
+/// wait.
 constexpr duration initial_read_delay = std::chrono::seconds(2);
-/// The same while the store has not even taken its record.
+/// The same while the store has not accepted the record of this host.
 constexpr duration initial_read_delay_unregistered = std::chrono::seconds(10);
-/// Share of the limit of a bundle's age that turns may take.
+/// Divisor of the bundle age limit that gives the maximum delay behind other hosts.
 constexpr int bundle_read_delay_divisor = 8;
-/// Between two reads of the upstreams' entries by a reader. All hosts must know within two seconds which
+/// Interval of a reader's reads of the upstream entries. All hosts must see within two seconds which
 /// upstreams leave.
 constexpr duration upstream_interval = milliseconds(400);
-/// A host that knows the upstreams only as of longer ago reads for itself, as the readers seem to be gone.
+/// Age of the entries above which a host reads for itself, as the readers seem to be down.
 constexpr duration own_upstream_read_age = milliseconds(1500);
 
 } // namespace
--- a/src/libs/site/storereadschedule.h
+++ b/src/libs/site/storereadschedule.h
@@ -8,28 +8,28 @@
 
 namespace sailtiller {
 
-/// What a host's reads of the store must keep to.
+/// Time limits for reads of the store.
 struct store_read_settings
 {
-    /// An accepted bundle must be in force on every host within this.
+    /// Time within which an accepted bundle must be in force on every host.
     duration apply_limit = std::chrono::seconds(2);
-    /// A withdrawn key must not be used for longer than this.
+    /// Longest time for which a withdrawn key may be used.
     duration revoke_limit = std::chrono::seconds(5);
 };
 
-/// A host's place among those that may read the store.
+/// Position of a host among the hosts that may read the store.
 struct store_read_position
 {
-    bool is_candidate = true; ///< it is one of the few that may come to read for all
-    std::size_t fleet_size = 1; ///< hosts
-    double turn = 0; ///< share of the other hosts that go first when many want to read, 0 to 1
+    bool is_candidate = true; ///< may become a reader for all hosts
+    std::size_t fleet_size = 1; ///< number of hosts
+    double turn = 0; ///< share of the other hosts that read before this one, 0 to 1
 };
 
-/// When a host reads the store. A few hosts, the readers, read it for all; the others hear from them, and
-/// read for themselves once what they hear is too old. Whoever the store doesn't answer is no reader. All but
-/// the candidates take turns in that: what the first one reads, the others hear. A store that is slow for a
-/// moment would else be asked by all hosts at once for all that has changed since, and again and again, as it
-/// couldn't answer in time.
+/// Schedules reads of the store by one host. A few hosts, the readers, read it for all; the others get the
+/// results from them, and read for themselves once these are too old. A host whose reads fail is no reader.
+/// All hosts but the candidates read one after another, so that later ones get the results of earlier ones.
+/// Otherwise a store that is slow for a moment would be asked by all hosts at once, and repeatedly, for all
+/// changes, and could not answer in time.
 class store_read_schedule
 {
 public:
@@ -40,34 +40,36 @@
 
     void set_settings(const store_read_settings& next) { this->settings = next; }
     void set_place(const store_read_position& next) { this->place = next; }
-    /// This host has started. From here on it waits for what others know before its first read; without this
-    /// call it reads at once.
+    /// Records the start of this host. Its first read then waits for the state of other hosts; without this
+    /// call it reads immediately.
     void note_start(time_point now);
-    /// It has read the records of the other hosts, and its place is known.
+    /// Records that the host records were read and the position of this host is known.
     void note_records(time_point now);
-    /// Another host will give what this one lacks.
+    /// Records that another host will send what this one lacks.
     void record_pending_transfer(time_point now);
-    /// No other host was heard lately.
+    /// Records that no other host has reported recently.
     void record_no_peers(time_point now);
-    /// How long a read for a newer bundle waits at the store. Its answer confirms the present one as of its
-    /// question, so a reader's confirmation is up to two waits old.
+    /// Longest time that a read for a newer bundle waits at the store. The answer confirms the current bundle
+    /// as of the query, so a confirmation by a reader is up to two waits old.
     [[nodiscard]] duration bundle_wait() const;
-    /// True if this host should read the bundle, which it knows to have been the newest that long ago.
+    /// Returns true if this host should read the bundle; `age` is the time since it was confirmed as the
+    /// newest.
     [[nodiscard]] bool is_bundle_due(
         bool is_reader, const std::optional<duration>& age, time_point now) const;
-    /// The same for the upstreams' entries.
+    /// Returns true if this host should read the upstream entries; `age` is the time since they were
+    /// confirmed.
     [[nodiscard]] bool are_upstreams_due(
         bool is_reader, const std::optional<duration>& age, time_point now) const;
 
-    /// The store answered a read of this host.
+    /// Records that the store answered a read of this topic.
     void note_answered(store_topic topic) { this->failed.erase(topic); }
-    /// The store failed a read of this host.
+    /// Records that a read of this topic failed.
     void note_failed(store_topic topic, time_point now) { this->failed[topic] = now; }
-    /// False from a failed read of some topic to the next one that is answered.
+    /// Returns false from a failed read of any topic until the next answered read of that topic.
     [[nodiscard]] bool reads_store() const { return this->failed.empty(); }
 
 private:
-    /// How long this host lets others go first.
+    /// Delay by which this host reads after others.
     [[nodiscard]] duration turn() const;
     [[nodiscard]] duration topic_retry_pause() const;
     [[nodiscard]] bool is_due(
@@ -76,15 +78,15 @@
     {
         return !this->first_read || now >= *this->first_read;
     }
-    /// True if a topic that the store has failed should be tried again.
+    /// Returns true if a topic whose last read failed should be read again.
     [[nodiscard]] bool is_retry_due(store_topic topic, time_point now) const;
 
     store_read_settings settings;
     store_read_position place;
-    std::optional<time_point> first_read; ///< nothing: at once
-    std::optional<time_point> records_read; ///< those of the other hosts
-    /// The last read of each topic that the store failed. Kept apart, so that a store that answers one topic
-    /// and not the other makes no host a reader by turns.
+    std::optional<time_point> first_read; ///< not set: immediately
+    std::optional<time_point> records_read; ///< when the records of the other hosts were read
+    /// Time of the last failed read of each topic. Kept by topic, so that a store that answers only one of
+    /// two topics does not make a host a reader and not a reader by turns.
     std::map<store_topic, time_point> failed;
 };
 
--- a/src/libs/site/transferbudget.h
+++ b/src/libs/site/transferbudget.h
@@ -7,7 +7,8 @@
 
 namespace sailtiller {
 
-/// Bounds the bytes that a host gives to others in each interval; the first answer of one always fits.
+/// Limits the bytes that a host sends to others in each interval; the first answer of an interval always
+/// fits.
 class transfer_budget
 {
 public:
@@ -17,7 +18,7 @@
     {
     }
 
-    /// True if so many bytes may be given now.
+    /// Returns true if `bytes` more may be sent now.
     [[nodiscard]] bool has_budget_for(std::size_t bytes, time_point now);
     void record_sent_bytes(std::size_t bytes) { this->given += bytes; }
 
@@ -25,7 +26,7 @@
     std::size_t most_bytes;
     duration interval;
     time_point interval_end{};
-    std::size_t given = 0; ///< bytes in the present interval
+    std::size_t given = 0; ///< bytes sent in the current interval
 };
 
 } // namespace sailtiller
--- a/src/libs/site/trialclaims.cpp
+++ b/src/libs/site/trialclaims.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// After a failed read at the start.
+/// Interval of retries after a failed initial read.
 constexpr duration initial_read_retry_interval = std::chrono::milliseconds(700);
-/// Reads for one claim, as another host may write between the read and the write.
+/// Maximum number of reads for one claim, as another host may write between the read and the write.
 constexpr unsigned max_claim_reads = 3;
 
 std::string write_record(const trial_record& record)
@@ -36,7 +36,7 @@
         this->hooks.timers.schedule_after(initial_read_retry_interval, [this] { this->start(); });
     };
     if (!this->hooks.is_store_reached()) {
-        try_later(); // other reads of this host find out about the store's return
+        try_later(); // other reads of this host detect that the store is back
         return;
     }
     this->hooks.read_newest([this](const newest_page& page) { this->take_records(page.records); },
@@ -102,7 +102,7 @@
             }
         },
         [this, content, on_answer](const error& failure) {
-            // It may have been written; then the trial is lost, which costs less than one too many.
+            // The record may have been written; a lost trial costs less than one too many.
             this->deny_trial(content, failure.what(), on_answer);
         });
 }
--- a/src/libs/site/trialclaims.h
+++ b/src/libs/site/trialclaims.h
@@ -7,42 +7,43 @@
 
 namespace sailtiller {
 
-/// How claims reach the store, and what they tell.
+/// Access to the store and callbacks for claims.
 struct trial_claims_hooks
 {
     timer_hooks timers;
     std::function<void(const std::function<void(const newest_page&)>& on_all,
         const std::function<void(const error&)>& on_failure)>
         read_newest;
-    /// Writes the record if the topic still ends there; tells whether it did.
+    /// Writes the record if the topic still ends at `end`; reports whether it was written.
     std::function<void(const keyed_record&, log_offset end, const std::function<void(bool)>& on_done,
         const std::function<void(const error&)>& on_failure)>
         put_at;
-    /// Drops a key; a failure leaves a record that the next one replaces.
+    /// Removes a key; after a failure, the record stays until it is overwritten.
     std::function<void(const std::string& key)> drop;
-    /// False while the store has failed the last read of this host.
+    /// Returns false if the last read of the store by this host failed.
     std::function<bool()> is_store_reached;
-    /// A trial was given or withheld.
+    /// Called when a trial is granted or denied.
     std::function<void(event_type, const request_content&, const std::string& detail)> on_event;
 };
 
-/// The fleet's trials of suspect requests, counted by records in the platform's store: hosts share nothing
-/// else that could count to three over all of them, and their memory is gone when they are all restarted at
-/// once. A claim reads all records and writes its own on the condition that none has come since.
+/// Limits trials of suspect requests over the whole fleet, counted by records in the platform's store: hosts
+/// share nothing else that could count to three over all of them, and their memory is lost when all are
+/// restarted at once. A claim reads all records and writes its own on condition that no record was added
+/// since.
 class trial_claims
 {
 public:
     using answer_handler = std::function<void(bool is_given)>;
 
-    /// Both outlive the claims.
+    /// Both arguments must outlive this object.
     trial_claims(crash_suspects& suspects, trial_claims_hooks hooks);
 
-    /// Reads what the store knows, until it answers once: a host that has just started, alone or with all the
-    /// others, must not try what the fleet has tried already.
+    /// Reads all records from the store, repeatedly until a read succeeds: a host that has started, alone or
+    /// with all others, must not repeat trials of the fleet.
     void start();
-    /// Asks for one trial. Answers later, even if the answer is known at once.
+    /// Requests one trial. Always answers asynchronously.
     void claim(const request_content& content, const answer_handler& on_answer);
-    /// The request proved sound, or is forgotten: its record in the store ends.
+    /// Removes the record of a request that was cleared or forgotten.
     void drop(const request_content& content);
 
 private:
--- a/tests/auto/entry/tst_entryservice.cpp
+++ b/tests/auto/entry/tst_entryservice.cpp
@@ -22,7 +22,7 @@
     R"({"model":"model-0","max_tokens":10,"messages":[{"role":"user","content":"hello"}]})";
 constexpr const char* messages = R"([{"content":"hello","role":"user"}])";
 
-/// A stand-in engine with its server.
+/// A simulated engine with its HTTP server.
 struct engine_process
 {
     explicit engine_process(event_loop& loop)
@@ -38,7 +38,8 @@
     endpoint address;
 };
 
-/// One entry host before four engines and a plain service, all in one loop over loopback connections.
+/// One entry host in front of four engines and a plain service, all in one event loop over loopback
+/// connections.
 class entry_service_test : public testing::Test
 {
 protected:
--- a/tests/auto/site/tst_bundleexchange.cpp
+++ b/tests/auto/site/tst_bundleexchange.cpp
@@ -9,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-/// Hosts with links of a given rate that tell each other their versions every 250 ms, eight at a time, and
-/// then exchange bundles. All under one paused clock.
+/// Hosts with links of a given rate that exchange their versions every 250 ms with eight others, and then
+/// exchange bundles. All run under one simulated clock.
 class bundle_exchange_test : public testing::Test
 {
 protected:
@@ -19,8 +19,8 @@
         known_host name;
         std::uint64_t version = 1;
         std::string text = "old";
-        known_host giver; ///< of the text; nobody for the first one
-        time_point link_free{}; ///< when the link has sent what it was given
+        known_host giver; ///< sender of the text; not set on the first host
+        time_point link_free{}; ///< when the link has sent all queued data
         std::uint64_t sent_bytes = 0;
         std::unique_ptr<bundle_exchange> exchange;
     };
@@ -54,7 +54,8 @@
         return hooks;
     }
 
-    /// The answer comes when the holder's link has sent it; nothing comes within a second if that is later.
+    /// Answers once the holder's link has sent the data; if that takes over a second, answers nothing after a
+    /// second.
     void ask(
         const known_host& holder, const std::function<void(const std::optional<std::string>&)>& on_answer)
     {
@@ -73,7 +74,7 @@
             [on_answer, answer, is_in_time] { on_answer(is_in_time ? answer : std::nullopt); });
     }
 
-    /// Every host hears the versions of eight others.
+    /// Every host gets the versions of eight others.
     void publish_versions()
     {
         for (const auto& item : this->hosts) {
@@ -114,7 +115,7 @@
     bool spoil = false;
 };
 
-/// Text that packs to about a tenth, as configurations do.
+/// Text that compresses to about a tenth, as configurations do.
 std::string make_text(std::size_t bytes)
 {
     const random_function random = make_seeded_random(3);
@@ -136,7 +137,7 @@
     EXPECT_EQ(this->count_with(2), 60U);
     EXPECT_EQ(this->hosts[59]->text, this->hosts[0]->text);
     for (const auto& item : this->hosts) {
-        EXPECT_LT(item->sent_bytes, 2'500'000) << "no link was full for the whole of a second";
+        EXPECT_LT(item->sent_bytes, 2'500'000) << "no link was saturated for a whole second";
     }
 }
 
@@ -167,7 +168,7 @@
 {
     this->add_hosts(3, 2'500'000);
     this->hosts[0]->version = 2;
-    this->hosts[0]->text = make_text(5'000'000); // one alone is more than an interval's bytes
+    this->hosts[0]->text = make_text(5'000'000); // exceeds the budget of one interval
     EXPECT_TRUE(this->hosts[0]->exchange->give().has_value());
     EXPECT_FALSE(this->hosts[0]->exchange->give().has_value());
     this->now += 100ms;
--- a/tests/auto/site/tst_entryexchange.cpp
+++ b/tests/auto/site/tst_entryexchange.cpp
@@ -17,7 +17,7 @@
     return upstream;
 }
 
-/// A holder of entries, and a host that is behind and whose questions a test answers.
+/// A holder of entries, and an outdated host whose queries the test answers.
 class entry_exchange_test : public testing::Test
 {
 protected:
@@ -54,7 +54,7 @@
         this->holder.confirm_upstreams(this->now);
     }
 
-    /// A report of the holder to one who knows nothing comes to the host that is behind.
+    /// Passes to the outdated host a report of the holder for a host without entries.
     void receive_holder_report()
     {
         peer_report answer;
@@ -98,7 +98,7 @@
     EXPECT_EQ(this->behind.upstreams().entries().size(), 3000U);
     EXPECT_EQ(this->behind.upstreams_age(), duration(0));
     this->receive_holder_report();
-    EXPECT_TRUE(this->questions.empty()) << "it lacks nothing now";
+    EXPECT_TRUE(this->questions.empty()) << "all entries have been received";
 }
 
 TEST_F(entry_exchange_test, another_holder_is_asked_after_one_that_gave_nothing)
@@ -151,7 +151,7 @@
 
 TEST_F(entry_exchange_test, who_knows_as_much_is_given_nothing)
 {
-    EXPECT_FALSE(this->giver.give(std::nullopt).has_value()) << "it knows nothing itself";
+    EXPECT_FALSE(this->giver.give(std::nullopt).has_value()) << "it has no entries itself";
     this->fill_holder(10);
     EXPECT_FALSE(this->giver.give(log_offset(10)).has_value());
 }
--- a/tests/auto/site/tst_sitestate.cpp
+++ b/tests/auto/site/tst_sitestate.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-/// Bundles are written as their version, upstreams as "x" or "leaving", or as the moment of their start.
+/// Encodes a bundle as its version, and an upstream as "x", "leaving" or its start time.
 site_bundle decode_bundle(const std::string& text)
 {
     if (text == "broken") {
@@ -39,7 +39,7 @@
     return upstream;
 }
 
-/// One host's knowledge under a clock that all hosts of a test share.
+/// State of one host under a clock that all hosts of a test share.
 struct test_host
 {
     explicit test_host(const time_point& now)
@@ -65,7 +65,7 @@
 
     std::vector<std::uint64_t> versions;
     std::vector<std::string> events;
-    std::vector<std::string> details; ///< of the events
+    std::vector<std::string> details; ///< details of the events
     std::vector<upstream_id> outlived;
     struct confirmation
     {
@@ -81,7 +81,7 @@
 class site_state_test : public testing::Test
 {
 protected:
-    /// `asker` asks `other`; the answer takes `way` to come back.
+    /// `asker` queries `other`; the answer arrives after `way`.
     void exchange(test_host& asker, test_host& other, duration way = 0ms)
     {
         const time_point asked = this->now;
@@ -98,7 +98,7 @@
         this->fetch_entries(asker, other, answer);
     }
 
-    /// The asker fetches what the answer withheld of the entries.
+    /// The asker requests the entries that the answer withheld.
     void fetch_entries(test_host& asker, test_host& other, const peer_report& answer)
     {
         entry_exchange_hooks hooks;
@@ -126,7 +126,7 @@
         return host.knowledge.upstreams().find(upstream_id("a"))->upstream.held;
     };
     this->first.knowledge.record_reported_layers(upstream_id("a"), {0, 8}, this->now);
-    EXPECT_TRUE(held_by(this->first).is_empty()) << "the entries are fresh, so they say it";
+    EXPECT_TRUE(held_by(this->first).is_empty()) << "fresh entries take precedence";
     this->now += 2s;
     EXPECT_TRUE(this->first.knowledge.are_entries_stale());
     this->first.knowledge.record_reported_layers(upstream_id("a"), {0, 8}, this->now);
@@ -134,7 +134,7 @@
     EXPECT_EQ(held_by(this->first), (layer_span{0, 8}));
     this->exchange(this->second, this->first);
     EXPECT_EQ(held_by(this->second), (layer_span{0, 8}));
-    // The store is back: its entries hold again, and nothing is told beside them.
+    // The store is back: its entries are valid again, and no holdings are reported beside them.
     this->first.knowledge.apply_upstream_record({"a", "leaving"}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
     this->first.knowledge.tidy();
@@ -152,20 +152,21 @@
     for (const char* name : {"a", "b"}) {
         this->first.knowledge.record_reported_layers(upstream_id(name), {0, 8}, this->now);
     }
-    // The store is back. One engine's entry has changed and says so; the other one holds again what it held.
+    // The store is back. The entry of one engine has changed; the other engine holds again what its entry
+    // says.
     this->first.knowledge.confirm_upstreams(this->now);
     this->first.knowledge.apply_upstream_record({"b", "leaving"}, log_offset(2));
     const auto held_by_a = [this] {
         this->first.knowledge.tidy();
         return this->first.knowledge.upstreams().find(upstream_id("a"))->upstream.held;
     };
-    EXPECT_FALSE(held_by_a().is_empty()) << "its entry may be written a moment later";
+    EXPECT_FALSE(held_by_a().is_empty()) << "its entry may be rewritten shortly";
     this->now += 1s;
     this->first.knowledge.confirm_upstreams(this->now);
     EXPECT_FALSE(held_by_a().is_empty());
     this->now += 1s;
     this->first.knowledge.confirm_upstreams(this->now);
-    EXPECT_TRUE(held_by_a().is_empty()) << "the entry holds: it would have been written by now";
+    EXPECT_TRUE(held_by_a().is_empty()) << "the entry is valid: a change would have been written by now";
     EXPECT_TRUE(this->first.knowledge.upstreams().find(upstream_id("b"))->upstream.is_leaving);
 }
 
@@ -176,7 +177,7 @@
     peer_report answer;
     this->first.knowledge.fill_report(answer, &question);
     EXPECT_TRUE(answer.changes.empty());
-    EXPECT_FALSE(answer.entries_offset.has_value()) << "the asker would take it that it lacks nothing";
+    EXPECT_FALSE(answer.entries_offset.has_value()) << "the asker would assume that its entries are complete";
     EXPECT_EQ(answer.withheld_offset, 5U);
     this->second.knowledge.take_answer(answer, this->now);
     EXPECT_FALSE(this->second.knowledge.upstreams_end().has_value());
@@ -204,8 +205,8 @@
     EXPECT_EQ(without.withheld_offset, 6U);
 }
 
-// Each of eight answers to a host that was behind held all changes: 986 hosts that started together moved
-// 13 MB each before the first request.
+// Guards against answers that repeat all changes: each of eight answers to an outdated host held them, and
+// 986 hosts that started together transferred 13 MB each before the first request.
 TEST_F(site_state_test, many_changes_are_told_only_when_they_are_asked_for_by_themselves)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
@@ -224,7 +225,7 @@
     EXPECT_EQ(this->second.knowledge.upstreams().entries().size(), 101U);
 }
 
-// Hosts that knew of no bundle yet asked the store for one without end, all of them.
+// Guards against endless reads: hosts without a bundle all requested one from the store continuously.
 TEST_F(site_state_test, that_there_is_no_bundle_yet_is_confirmed_and_told_as_well)
 {
     this->first.knowledge.confirm_bundle(this->now);
@@ -295,7 +296,7 @@
     this->exchange(this->second, this->first);
     this->now += 100ms;
     this->first.knowledge.record_reported_layers(upstream_id("a"), {4, 12}, this->now);
-    // The other host still tells the older word.
+    // The other host still reports the older holding.
     this->exchange(this->first, this->second);
     const layer_span newer{4, 12};
     EXPECT_EQ(this->first.knowledge.upstreams().find(upstream_id("a"))->upstream.held, newer);
@@ -341,7 +342,7 @@
     EXPECT_TRUE(this->first.confirmations.empty()) << "nothing was confirmed before";
     this->now += 2s;
     this->first.knowledge.confirm_bundle(this->now - 500ms);
-    this->first.knowledge.confirm_bundle(this->now - 700ms); // older than what is known
+    this->first.knowledge.confirm_bundle(this->now - 700ms); // older than the current confirmation
     this->exchange(this->second, this->first);
     this->exchange(this->second, this->first); // nothing newer
     EXPECT_EQ(
@@ -422,7 +423,7 @@
 
 TEST_F(site_state_test, a_host_that_the_store_turns_away_believes_what_others_read_as_gone)
 {
-    this->now += 10s; // a host that has just started can't tell how the store was before
+    this->now += 10s; // a host that has just started does not know the earlier state of the store
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(10));
     this->exchange(this->second, this->first);
     this->second.knowledge.note_store_failed(store_topic::upstreams);
@@ -431,8 +432,8 @@
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-// The two lists differ here only since an entry came and went while the store was away: one host has read the
-// removal and the entry that followed, the other one has dropped its upstream for good.
+// Guards against hosts with different lists after an entry was removed and rewritten during a store outage:
+// one host has read both the removal and the new entry, the other has removed the upstream.
 TEST_F(site_state_test, what_changes_nothing_for_its_reader_reaches_those_for_whom_it_does)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
@@ -442,7 +443,7 @@
     for (test_host* host : {&this->first, &this->second}) {
         host->knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(1));
     }
-    // An entry as it was before: no change for its reader, who has kept the upstream.
+    // The entry is unchanged for its reader, which has kept the upstream.
     this->second.knowledge.apply_upstream_record({"a", "x"}, log_offset(2));
     this->exchange(this->first, this->second);
     this->now += 2s;
@@ -450,8 +451,8 @@
     this->second.knowledge.tidy();
     EXPECT_NE(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
     EXPECT_NE(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr)
-        << "it knows all records up to the entry that came back";
-    // Gone for good; for whoever has dropped the upstream, no change either.
+        << "it has all records up to the rewritten entry";
+    // Removed; also no change for a host that has removed the upstream before.
     this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(3));
     this->exchange(this->second, this->first);
     EXPECT_EQ(this->second.knowledge.upstreams_end()->value(), 4U);
@@ -479,7 +480,7 @@
     this->now += 2s;
     this->first.knowledge.tidy();
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(4));
-    EXPECT_TRUE(is_leaving(this->first)) << "its entry is back after it was gone";
+    EXPECT_TRUE(is_leaving(this->first)) << "its entry is back after its removal";
 }
 
 TEST_F(site_state_test, a_leaving_entry_that_lapsed_stays_lapsed_as_its_upstream_says_the_same)
@@ -506,10 +507,10 @@
     this->first.knowledge.note_leaving(upstream_id("a"));
     this->second.knowledge.apply_leaving_notices(told_by(this->first));
     EXPECT_TRUE(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.is_leaving);
-    EXPECT_EQ(told_by(this->second).leaving_upstreams, std::vector{upstream_id("a")}) << "it is told on";
+    EXPECT_EQ(told_by(this->second).leaving_upstreams, std::vector{upstream_id("a")}) << "it is forwarded";
     this->now += retired_upstreams::retention * 2;
     this->first.knowledge.tidy();
-    EXPECT_EQ(told_by(this->first).leaving_upstreams.size(), 1U) << "it is listed still";
+    EXPECT_EQ(told_by(this->first).leaving_upstreams.size(), 1U) << "it is still listed";
     this->first.knowledge.apply_upstream_record({"a", std::nullopt}, log_offset(1));
     this->now += retired_upstreams::retention;
     this->first.knowledge.tidy();
--- a/tests/auto/site/tst_storereadschedule.cpp
+++ b/tests/auto/site/tst_storereadschedule.cpp
@@ -10,15 +10,13 @@
 using namespace std::chrono_literals;
 using tests::store_access;
 
-/// Within this an accepted bundle must be in force on every host that reaches the store.
+/// Time within which an accepted bundle must be in force on every host that reaches the store.
 constexpr duration apply_limit = 2s;
-// Users were told 404 for a route that an operator had added 2.1 s before; 2 s are promised. The two hosts
-// that read the store for all lived and were heard, but the store no longer answered them: of all hosts their
-// calls alone failed. Nobody took their place, as readers were chosen among the hosts that live. The others
-// read for themselves, all within 10 ms, once what they knew was 2.6 s old: they found one change, had what
-// they knew confirmed as of that moment, and looked again 2.6 s later. A second change that was confirmed 0.3
-// s after that round was in force 2.37 s later. The refusals said that the bundle had been the newest 2.4 s
-// ago.
+// Guards against bundles that take force later than 2 s after their confirmation. A route answered 404 2.1 s
+// after it had been added. The two readers were alive, but the store no longer answered them, and no other
+// host replaced them, as readers were chosen among live hosts. The other hosts read for themselves within 10
+// ms of each other once their state was 2.6 s old, and again 2.6 s later: a change confirmed 0.3 s after such
+// a round took force 2.37 s later, and refusals reported a bundle confirmed 2.4 s before.
 TEST(store_read_schedule_test, changes_are_in_force_in_time_though_both_readers_are_cut_off_from_the_store)
 {
     for (duration cut_for = 0ms; cut_for < 5s; cut_for += 200ms) {
@@ -75,7 +73,7 @@
     tests::site_fleet fleet(7);
     const std::size_t before = fleet.bundles().calls_made();
     fleet.pass(45s);
-    // A wait of 0.4 s and a pause of 0.05 s each.
+    // Each read takes a wait of 0.4 s and a pause of 0.05 s.
     EXPECT_LE(fleet.bundles().calls_made() - before, 2 * 100U + 2);
 }
 
@@ -88,14 +86,14 @@
     reading.note_answered(store_topic::bundles);
     EXPECT_FALSE(reading.reads_store());
     EXPECT_FALSE(reading.are_upstreams_due(false, 0s, now + 900ms));
-    EXPECT_TRUE(reading.are_upstreams_due(false, 0s, now + 1s)) << "it tries again";
-    EXPECT_FALSE(reading.is_bundle_due(false, 0s, now + 1s)) << "nothing failed there";
+    EXPECT_TRUE(reading.are_upstreams_due(false, 0s, now + 1s)) << "the read is retried";
+    EXPECT_FALSE(reading.is_bundle_due(false, 0s, now + 1s)) << "no read of this topic failed";
     reading.note_answered(store_topic::upstreams);
     EXPECT_TRUE(reading.reads_store());
 }
 
-// Hosts that ask the others in the same order hear what a reader knows only when its turn comes: 400 hosts
-// read the store 162 times a second, beside the two readers' 2.4.
+// Guards against hosts that query the others in the same order and so get the state of a reader only when its
+// turn comes: 400 hosts read the store 162 times a second, beside the 2.4 reads of the two readers.
 TEST(store_read_schedule_test, only_the_readers_read_in_a_large_fleet)
 {
     tests::site_fleet fleet(200, 4s);
@@ -116,13 +114,13 @@
     store_read_schedule reading({});
     reading.note_start(now);
     EXPECT_FALSE(is_due(reading, now + 9999ms));
-    EXPECT_TRUE(is_due(reading, now + 10s)) << "the store has not taken its record";
+    EXPECT_TRUE(is_due(reading, now + 10s)) << "the store has not accepted its record";
     reading.note_records(now);
     EXPECT_TRUE(is_due(reading, now)) << "a candidate";
     reading.set_place({.is_candidate = false, .fleet_size = 100, .turn = 0.5});
     reading.note_records(now);
     EXPECT_FALSE(is_due(reading, now + 2399ms));
-    EXPECT_TRUE(is_due(reading, now + 2400ms)) << "two seconds and its turn";
+    EXPECT_TRUE(is_due(reading, now + 2400ms)) << "two seconds and its delay";
     reading.record_pending_transfer(now + 2s);
     EXPECT_FALSE(is_due(reading, now + 3999ms));
     EXPECT_TRUE(is_due(reading, now + 4s));
@@ -133,8 +131,8 @@
     EXPECT_TRUE(is_due(reading, now + 2s));
 }
 
-// 986 hosts asked a slow store for all that had changed, all at once and again each second, for as long as it
-// could not answer them in time; none of them ever served a request.
+// Guards against a slow store being overloaded: 986 hosts requested all changes at once and again each second
+// while it could not answer in time, and none of them served a request.
 TEST(store_read_schedule_test, hosts_that_are_no_candidates_take_turns_in_reading_for_themselves)
 {
     const time_point now{100s};
--- a/tests/auto/site/tst_storerestore.cpp
+++ b/tests/auto/site/tst_storerestore.cpp
@@ -1,13 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-// The platform's store comes back from a copy that is some seconds old: what was written since is gone, and
-// offsets are given out again.
-//
-// What hosts did before they told one history from the next: they read on at their old offset, and once the
-// new history had grown past it, the read succeeded; they missed the new records before it for good, and went
-// on using upstreams that had left. Those that read the list anew took the copy's word that such upstreams
-// are ready. Cause: an offset was a bare number, compared and kept as if there were one history, and nothing
-// remembered what had been known of the records that the copy lacks. Evidence: all three tests of upstreams
-// failed, the series of faults at its seed 21, and pass with offsets that hold the era.
+// Restores of the platform's store from a copy that is some seconds old: later records are lost, and their
+// offsets are assigned again.
+// Guards against hosts that mix the two histories. Hosts that continued at their old offset missed the
+// records before it once the new history had grown past it, and went on using upstreams that had left; hosts
+// that read the whole list took such upstreams as ready, as the copy lists them. Cause: offsets did not
+// identify the history, and nothing kept what was known of the lost records. Without the era in offsets, all
+// three tests of upstreams fail, the series of faults at its seed 21.
 #include <support/sitefleet.h>
 
 #include <gtest/gtest.h>
@@ -24,11 +22,11 @@
 using tests::store_access;
 
 constexpr std::size_t host_count = 7;
-/// No upstream gets new work later than this after the store has taken that it leaves.
+/// Time after the store has accepted a leaving entry within which the upstream must get no more requests.
 constexpr duration leave_limit = 2s;
-/// Within this, upstreams write again what the store has lost.
+/// Time within which upstreams rewrite entries that the store has lost.
 constexpr duration rewrite_time = 2s;
-/// The store drops the entry of an upstream that has been silent for so long: three heartbeats.
+/// The store removes the entry of an upstream that is silent for this long: three heartbeats.
 constexpr duration silence_limit = 3600ms;
 
 void write(site_fleet& fleet, const std::string& name, const char* value)
@@ -64,8 +62,8 @@
     }
 }
 
-/// "left" and "gone" leave, "new" comes, all within the seconds that are lost. In the copy the two are ready
-/// and the third is not there. The store goes on being written to.
+/// "left" and "gone" leave and "new" starts within the lost seconds. In the copy the first two are ready and
+/// the third is missing. The store continues to get records.
 void restore_after_changes(site_fleet& fleet, duration away_time, unsigned writes_after)
 {
     for (const char* name : {"kept", "left", "gone"}) {
@@ -114,8 +112,8 @@
     expect_same_lists(fleet, when + ", after one more has left");
 }
 
-// The dangerous case is the silent one: by the time a host reads again, the new history has grown past its
-// old offset, the read succeeds, and what it believes is a mix of two histories.
+// The critical case raises no error: by the time of the next read, the new history has grown past the old
+// offset, the read succeeds, and the state mixes two histories.
 TEST(store_restore_test, hosts_know_the_new_history_and_forget_no_leaving_of_the_old_one)
 {
     for (const duration away_time : {0s, 1s, 4s}) {
@@ -154,14 +152,14 @@
         }
         fleet.bundles().restore(5s);
         fleet.pass(1s);
-        fleet.bundles().put({"config", std::to_string(1 + lost)}); // the operator writes it again
+        fleet.bundles().put({"config", std::to_string(1 + lost)}); // the operator writes the bundle again
         fleet.pass(1s);
         EXPECT_LE(fleet.measure_delay(2 + lost), duration(2s)) << lost << " versions were lost";
     }
 }
 
-/// Upstreams that come, leave and end, each under a name that is never used again, and write their entries
-/// again when the store has lost them.
+/// Upstreams that start, leave and end, each under a unique name, and rewrite entries that the store has
+/// lost.
 class upstream_starts
 {
 public:
@@ -197,7 +195,7 @@
         }
     }
 
-    /// The store drops the entries of those that don't write them any more.
+    /// The store removes the entries of upstreams that no longer write them.
     void drop_silent()
     {
         const std::map<std::string, std::string> stored = this->fleet.upstreams().newest();
@@ -227,7 +225,8 @@
     int started = 0;
 };
 
-/// Changes, restores, times away, restarts and cuts in an order drawn from the seed; then quiet.
+/// Applies changes, restores, outages, restarts and partitions in an order drawn from the seed, then a calm
+/// period.
 void run_series(unsigned seed)
 {
     std::mt19937 draw(seed);
@@ -272,7 +271,7 @@
 
 TEST(store_restore_test, after_any_series_of_faults_all_hosts_know_what_the_store_knows)
 {
-    constexpr unsigned seeds = 200; // thousands by hand, for a change of what hosts tell each other
+    constexpr unsigned seeds = 200; // run thousands by hand after a change of the protocol between hosts
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         run_series(seed);
         if (HasFailure()) {
--- a/tests/auto/site/tst_trialclaims.cpp
+++ b/tests/auto/site/tst_trialclaims.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-/// The store's topic of suspect requests. Each call is answered some milliseconds after it came, so that
-/// calls of several hosts lie between each other.
+/// The topic of suspect requests in the store. Each call is answered some milliseconds later, so that calls
+/// of several hosts interleave.
 class suspects_topic
 {
 public:
@@ -57,7 +57,7 @@
     const time_point& now;
 };
 
-/// One host's memory and claims.
+/// Suspects and claims of one host.
 struct claiming_host
 {
     crash_suspects suspects;
@@ -137,7 +137,7 @@
         host.claims->claim(this->content, [&host](bool is_given) { host.answer = is_given; });
     }
 
-    /// All hosts claim at once. Returns how many were given a trial.
+    /// Claims a trial on all hosts at once. Returns the number of granted trials.
     std::size_t claim_on_all()
     {
         for (const auto& host : this->hosts) {
@@ -175,7 +175,7 @@
 {
     std::size_t given = 0;
     for (int round = 0; round < 20; ++round) {
-        this->start_hosts(3); // all are restarted at once and know nothing
+        this->start_hosts(3); // all are restarted at once without state
         for (const auto& host : this->hosts) {
             host->claims->start();
         }
@@ -197,7 +197,7 @@
     this->topic.fails = false;
     this->pass(1s);
     const judged_request judged = this->hosts.front()->suspects.judge(this->content, this->now);
-    EXPECT_EQ(judged.judgement, send_judgement::later) << "one trial was given, by a host that is gone";
+    EXPECT_EQ(judged.judgement, send_judgement::later) << "one trial was granted, to a host that has ended";
     EXPECT_GT(judged.wait, duration(3s));
 }
 
@@ -210,7 +210,7 @@
     this->topic.loses_answers = true;
     EXPECT_EQ(this->claim_on_all(), 0U);
     this->topic.loses_answers = false;
-    EXPECT_EQ(this->claim_on_all(), 0U) << "a trial was written, and may be under way";
+    EXPECT_EQ(this->claim_on_all(), 0U) << "a trial was written and may be in progress";
     this->pass(5s);
     EXPECT_EQ(this->claim_on_all(), 1U);
 }
@@ -221,7 +221,7 @@
     claiming_host& host = *this->hosts.front();
     host.is_store_reached = false;
     this->claim(host);
-    EXPECT_FALSE(host.answer) << "it answers later, as ever";
+    EXPECT_FALSE(host.answer) << "claims are always answered asynchronously";
     this->pass(5ms);
     EXPECT_EQ(host.answer, std::optional(false));
     EXPECT_EQ(this->topic.calls, 0U);
--- a/tests/auto/site/tst_upstreamentries.cpp
+++ b/tests/auto/site/tst_upstreamentries.cpp
@@ -13,7 +13,7 @@
 using tests::site_fleet;
 using tests::store_access;
 
-/// No upstream gets new work later than this after the store has taken that it leaves.
+/// Time after the store has accepted a leaving entry within which the upstream must get no more requests.
 constexpr duration leave_limit = 2s;
 
 void expect_same_lists(const site_fleet& fleet, const std::string& when)
@@ -31,7 +31,7 @@
     }
 }
 
-/// The store is away for all hosts, and meanwhile drops the entries of those upstreams.
+/// Makes the store unavailable to all hosts; meanwhile it removes the entries of those upstreams.
 void drop_entries_while_away(
     site_fleet& fleet, store_access kind, const std::set<std::string>& names, duration away_time)
 {
@@ -45,20 +45,17 @@
     fleet.set_access_of_all(store_access::answers);
 }
 
-// Users' requests reached an upstream 2.25 s after the store had taken that it leaves; 2 s are allowed. Other
-// hosts refused every request of its service, for half a minute, though two of its upstreams served.
-// Order of events: the store was away for 8 s and dropped all entries by itself. Once it was back, all hosts
-// read the removals and kept the upstreams as lapsed; the upstreams wrote their entries anew, the same as
-// before. Then each host dropped some of them for good, no two groups the same ones: the two that read the
-// store for all were among those that dropped this upstream, two others kept it. When it left, 21 s later, no
-// host logged any change of it, and the two went on.
-// Cause: a host that read a record told it to the others only if its own list of upstreams changed by it, and
-// told them all the same that they knew everything up to there. An entry that comes back before its upstream
-// is dropped changes nothing on its reader, so the others heard of its removal alone, and dropped it; the
-// removal of one that its readers had dropped before changed nothing there either.
-// Evidence: the hosts' logs and metrics of that time. Upstreams' entries known as of 0.1 to 0.6 s ago on all
-// hosts, no line on the leaving anywhere, and the services' upstreams in use, which differed from host to
-// host from the end of the grace for lapsed entries on.
+// Guards against hosts with different lists of upstreams after a store outage: requests reached an upstream
+// 2.25 s after the store had accepted that it leaves, with 2 s allowed, and other hosts refused every request
+// of its service for half a minute though two of its upstreams served.
+// The store was unavailable for 8 s and removed all entries. Hosts kept the upstreams as lapsed, the
+// upstreams rewrote the same entries, and then each host dropped some of them, no two groups the same ones.
+// Both readers had dropped this upstream and two others had kept it; when it left 21 s later, no host logged
+// a change, and these two went on using it.
+// Cause: a reader forwarded a record only if it changed its own list of upstreams, yet reported that it knew
+// everything up to that offset. An entry that comes back before its upstream is dropped changes nothing on
+// its reader, so the others got the removal alone; the removal of an upstream that the readers had dropped
+// changed nothing there either. On all hosts the entries were confirmed as of 0.1 to 0.6 s ago.
 TEST(
     upstream_entries_test, an_upstream_that_comes_back_and_leaves_after_the_store_was_away_is_left_everywhere)
 {
@@ -82,11 +79,11 @@
     }
 }
 
-/// The store drops the entries of all upstreams while it is away; they are written anew `back_time` after its
-/// return. Until then all hosts but those that start anew at its return go on using the upstreams.
+/// The store removes the entries of all upstreams during an outage; they are rewritten `back_time` after its
+/// end. Until then all hosts except those restarted at its end go on using the upstreams.
 void expect_in_use_until_back(store_access kind, duration away_time, const std::vector<std::size_t>& started)
 {
-    constexpr duration back_time = 2s; // as long as upstreams take at the most
+    constexpr duration back_time = 2s; // longest time that upstreams take
     const std::set<std::string> all = {"a", "b", "c"};
     site_fleet fleet(7);
     write_ready(fleet, all);
@@ -108,9 +105,9 @@
     expect_same_lists(fleet, "after they are back");
 }
 
-// In the same minutes two hosts dropped upstreams 1.8 and 2.1 s after the store's return, and one refused a
-// request right after, 0.1 s after it had last sent one: they counted the time for which they keep lapsed
-// upstreams from the last of their own reads that had failed, before the return.
+// Guards against lapsed upstreams dropped too early: two hosts dropped upstreams 1.8 and 2.1 s after the end
+// of an outage, and one refused a request 0.1 s after the last one sent. They counted the grace period from
+// their own last failed read, before the end of the outage.
 TEST(upstream_entries_test, upstreams_whose_entries_come_back_in_time_stay_in_use)
 {
     for (const store_access kind : {store_access::refuses, store_access::silent}) {
@@ -182,9 +179,9 @@
     }
 }
 
-/// A series of faults, drawn by a seed: the store away, silent or refusing, for some hosts or for all, and
-/// dropping entries meanwhile; history forgotten; hosts started anew; messages lost; upstreams that come,
-/// write what can't be read, leave, and end.
+/// A random series of faults from a seed: store outages, silent or refusing, for some hosts or all, with
+/// entries removed meanwhile; compacted history; restarts; lost messages; upstreams that start, write
+/// unusable entries, leave and end.
 class fault_series
 {
 public:
@@ -194,7 +191,7 @@
     {
     }
 
-    /// Plays faults that overlap, and then a calm; in it all hosts must come to what the store has.
+    /// Applies overlapping faults, then a calm period after which all hosts must have the list of the store.
     void play_round()
     {
         for (std::size_t count = 3 + this->draw(6); count > 0; --count) {
@@ -250,7 +247,7 @@
         this->dropped.erase(name);
     }
 
-    /// The store drops the entry; its upstream lives on and writes it again once the store is back.
+    /// The store removes the entry; its upstream lives on and rewrites it once the store is back.
     void drop_by_itself(const std::string& name)
     {
         const auto known = this->fleet.upstreams().newest().find(name);
@@ -288,7 +285,7 @@
     std::mt19937_64 draws;
     site_fleet fleet;
     bool are_entries_at_risk = false;
-    std::map<std::string, std::string> dropped; ///< entries that only the store has dropped
+    std::map<std::string, std::string> dropped; ///< entries of live upstreams that the store has removed
 };
 
 void play_series(std::uint64_t seed)
@@ -310,10 +307,11 @@
 
 TEST(upstream_entries_test, hosts_come_to_the_same_list_after_series_that_once_parted_them)
 {
-    // What repeated the newest value of its key was left out also where records between were not seen.
+    // A record that repeated the newest value of its key was omitted even where records in between were not
+    // seen.
     play_series(454);
-    // A list that a host had read was told as what differs from the list before, to one who by then knew a
-    // record between the two: a key that was dropped and written again stayed dropped there.
+    // A list was sent as its difference from the previous list to a host that by then had a record between
+    // the two: a key that was removed and rewritten stayed removed there.
     play_series(624);
 }
 
