--- a/src/libs/entry/callererror.cpp
+++ b/src/libs/entry/callererror.cpp
@@ -18,7 +18,7 @@
     case request_outcome::unknown:
         return "It may have run; send it again only if running it twice does no harm.";
     case request_outcome::failed:
-        return "It ran and would fail anywhere; change it before sending it again.";
+        return "It ran and would fail on any host; change it before sending it again.";
     }
     return "";
 }
--- a/src/libs/entry/completionrequest.cpp
+++ b/src/libs/entry/completionrequest.cpp
@@ -47,7 +47,7 @@
 {
     const auto found = body.find("messages");
     if (found == body.end() || !found->is_array() || found->empty()) {
-        reject_request("messages", "the field messages must be a list with at least one message");
+        reject_request("messages", "the field messages must be a non-empty array");
     }
     for (std::size_t index = 0; index < found->size(); ++index) {
         check_message((*found)[index], index);
@@ -59,7 +59,7 @@
 {
     const auto found = body.find("prompt");
     if (found == body.end() || !found->is_string()) {
-        reject_request("prompt", "the field prompt must be one text");
+        reject_request("prompt", "the field prompt must be a string");
     }
     return found->get<std::string>();
 }
@@ -121,7 +121,7 @@
         std::vector<json_fault> faults;
         const json document = parse_json(body, faults);
         if (!faults.empty()) {
-            reject_request(faults.front().path, "the body is not usable: " + faults.front().reason);
+            reject_request(faults.front().path, "invalid request body: " + faults.front().reason);
         }
         if (!document.is_object()) {
             reject_request("", "the body must be a JSON object");
@@ -134,7 +134,7 @@
         reason.status = http_status::bad_request;
         reason.type = "invalid_request_error";
         reason.code = "invalid_value";
-        reason.message = std::string("the body is not usable: ") + unusable.what();
+        reason.message = std::string("invalid request body: ") + unusable.what();
         return reason;
     }
 }
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -63,7 +63,7 @@
 void entry_service::refuse_while_stopping(http_exchange& exchange, const request_id& id)
 {
     caller_error reason = make_error(http_status::unavailable, "server_error", "stopping",
-        "this host stops and takes nothing more; another host takes the request now");
+        "this host is stopping and accepts no new requests; another host accepts the request now");
     reason.retry_after = retry_elsewhere_after;
     this->refuse(exchange, id, reason);
 }
@@ -123,7 +123,7 @@
     }
     if (!this->state) {
         caller_error reason = make_error(http_status::unavailable, "server_error", "not_ready",
-            "this host has no bundle in force yet; try again in a moment");
+            "this host has no bundle in force yet; retry after the time in Retry-After");
         reason.retry_after = not_ready_retry;
         this->refuse(*exchange, request.id, reason);
         return std::nullopt;
@@ -137,7 +137,7 @@
     if (account == nullptr) {
         this->refuse(*exchange, request.id,
             make_error(http_status::unauthorized, "authentication_error", "invalid_api_key",
-                has_key ? "the API key is not known; check it or ask the operators"
+                has_key ? "unknown API key; check it or ask the operators"
                         : "send an API key as 'Authorization: Bearer KEY'"));
         return std::nullopt;
     }
@@ -170,7 +170,7 @@
 void entry_service::refuse_by_limit(const admitted_request& request, const share_refusal& refusal)
 {
     caller_error reason = make_error(http_status::too_many_requests, "rate_limit_error", refusal.code.c_str(),
-        "the account is at its limit; come again after the time in Retry-After");
+        "the account is at its limit; retry after the time in Retry-After");
     reason.retry_after = refusal.retry_after;
     this->refuse(*request.exchange, request.id, reason);
 }
--- a/src/libs/gateway/gatewayservice.cpp
+++ b/src/libs/gateway/gatewayservice.cpp
@@ -26,7 +26,7 @@
 void gateway_service::refuse_while_stopping(
     const std::shared_ptr<http_exchange>& exchange, const caller_request& request)
 {
-    const std::string reason = "this host stops and takes nothing more";
+    const std::string reason = "this host is stopping and accepts no new requests";
     this->answer_refused(exchange, request, make_refusal(retry_elsewhere_after, reason), reason);
 }
 
@@ -101,7 +101,7 @@
     }
     order.priority = order.route->priority;
     if (!this->admit(order)) {
-        this->refuse(exchange, order.request, http_status::unauthorized, "the key is not known");
+        this->refuse(exchange, order.request, http_status::unauthorized, "unknown API key");
         return;
     }
     order.service = this->choose_service(*order.route);
--- a/src/libs/site/sitestate.cpp
+++ b/src/libs/site/sitestate.cpp
@@ -149,7 +149,7 @@
     const bool was_lapsed = before != nullptr && before->is_lapsed;
     const bool is_changed = this->directory.put(upstream, this->hooks.now());
     if (was_lapsed) {
-        this->hooks.on_event(event_type::upstream_back, name, "its entry was written anew");
+        this->hooks.on_event(event_type::upstream_back, name, "its entry was rewritten");
     }
     if (is_changed) {
         this->hooks.on_event(event_type::upstream_changed, name,
@@ -167,7 +167,7 @@
 void site_state::drop_upstream(const std::string& name)
 {
     const auto drop = [this](const upstream_id& id) { this->directory.drop(id, this->hooks.now()); };
-    this->retire_upstream(name, "its entry names none to use", drop);
+    this->retire_upstream(name, "its entry is unusable", drop);
 }
 
 void site_state::retire_upstream(
@@ -184,7 +184,7 @@
         this->past.note_ended(id, this->hooks.now());
     }
     this->hooks.on_event(is_kept ? event_type::upstream_lapsed : event_type::upstream_gone, name,
-        is_kept ? "kept for a while, as the store was away" : reason);
+        is_kept ? "kept for the grace period, as the store was unavailable" : reason);
 }
 
 void site_state::record_entries_read()
@@ -288,7 +288,7 @@
     for (const upstream_id& id : report.leaving_upstreams) {
         // Notices of removed upstreams would circulate between hosts forever.
         if (this->directory.find(id) != nullptr) {
-            this->apply_leaving_notice(id, "it told " + report.sender.id.value());
+            this->apply_leaving_notice(id, "reported by " + report.sender.id.value());
         }
     }
 }
@@ -379,7 +379,7 @@
     this->expire_reported_holdings();
     for (const upstream_id& id : this->directory.drop_lapsed(this->hooks.now())) {
         this->hooks.on_event(event_type::upstream_gone, upstream_name(id),
-            "its entry has not come back since the store was away");
+            "its entry was not rewritten after the store was unavailable");
     }
 }
 
