--- a/src/libs/site/bundleexchange.cpp
+++ b/src/libs/site/bundleexchange.cpp
@@ -81,7 +81,7 @@
     return this->packed;
 }
 
-std::optional<std::string> bundle_exchange::give()
+std::optional<std::string> bundle_exchange::make_answer()
 {
     if (this->hooks.own_version() == 0) {
         return std::nullopt;
--- a/src/libs/site/bundleexchange.h
+++ b/src/libs/site/bundleexchange.h
@@ -55,7 +55,7 @@
     void record_holder(const known_host& holder, std::uint64_t version);
     /// Returns the compressed bundle for a peer; nothing if there is none or the budget of the interval is
     /// used up.
-    std::optional<std::string> give();
+    std::optional<std::string> make_answer();
 
 private:
     void fetch();
--- a/src/libs/site/entryexchange.cpp
+++ b/src/libs/site/entryexchange.cpp
@@ -107,7 +107,7 @@
     return *this->list;
 }
 
-std::optional<std::string> entry_exchange::give(const std::optional<log_offset>& known)
+std::optional<std::string> entry_exchange::make_answer(const std::optional<log_offset>& known)
 {
     const std::optional<log_offset>& end = this->knowledge.upstreams_end();
     if (!end || (known && *known >= *end)) {
--- a/src/libs/site/entryexchange.h
+++ b/src/libs/site/entryexchange.h
@@ -46,7 +46,7 @@
     void note_answer(const peer_report& answer);
     /// Returns the answer for a peer; nothing if there is nothing new or the budget of the interval is used
     /// up.
-    std::optional<std::string> give(const std::optional<log_offset>& known);
+    std::optional<std::string> make_answer(const std::optional<log_offset>& known);
 
 private:
     void take(const known_host& holder, const std::optional<std::string>& bytes, time_point asked);
--- a/src/libs/site/storereadschedule.cpp
+++ b/src/libs/site/storereadschedule.cpp
@@ -18,7 +18,7 @@
 /// Age at which a host reads for itself, in quarters of the limit. The last quarter is left for its read and
 /// for forwarding the result. At 2.6 s, above the limit of 2 s, changes took force up to 2.4 s after their
 /// confirmation while both readers were cut off from the store.
-constexpr int own_read_quarters = 3;
+constexpr int own_read_limit_quarters = 3;
 /// Minimum interval of retries after a failed read, after which the host can be a reader again: a reader
 /// reads two or three times as often.
 constexpr duration min_retry_pause = milliseconds(1000);
@@ -113,7 +113,7 @@
 {
     const duration limit = std::min(this->settings.apply_limit, this->settings.revoke_limit);
     const duration turn = std::min(this->turn(), limit / bundle_read_delay_divisor);
-    const duration own_read_age = limit * own_read_quarters / 4 + turn;
+    const duration own_read_age = limit * own_read_limit_quarters / 4 + turn;
     return this->is_due(store_topic::bundles, age, is_reader ? duration::zero() : own_read_age, now);
 }
 
--- a/src/libs/site/trialclaims.cpp
+++ b/src/libs/site/trialclaims.cpp
@@ -66,7 +66,7 @@
         return;
     }
     this->hooks.timers.schedule_after(duration::zero(),
-        [this, content, on_answer] { this->deny_trial(content, "the store can't be asked", on_answer); });
+        [this, content, on_answer] { this->deny_trial(content, "the store is unavailable", on_answer); });
 }
 
 void trial_claims::read_claim(
@@ -76,7 +76,7 @@
         [this, content, reads_left, on_answer](const newest_page& page) {
             this->take_records(page.records);
             if (this->suspects.judge(content, this->hooks.timers.now()).judgement != send_judgement::trial) {
-                this->deny_trial(content, "another host has just tried it", on_answer);
+                this->deny_trial(content, "another host was just granted a trial", on_answer);
                 return;
             }
             this->write_claim(content, page.end, reads_left - 1, on_answer);
@@ -94,11 +94,11 @@
         {content.value(), write_record(record)}, end,
         [this, content, record, reads_left, on_answer](bool was_written) {
             if (was_written) {
-                this->give(content, record, on_answer);
+                this->grant_trial(content, record, on_answer);
             } else if (reads_left > 0) {
                 this->read_claim(content, reads_left, on_answer);
             } else {
-                this->deny_trial(content, "other hosts claim trials at once", on_answer);
+                this->deny_trial(content, "other hosts claim trials at the same time", on_answer);
             }
         },
         [this, content, on_answer](const error& failure) {
@@ -107,7 +107,7 @@
         });
 }
 
-void trial_claims::give(
+void trial_claims::grant_trial(
     const request_content& content, const trial_record& record, const answer_handler& on_answer)
 {
     this->suspects.note_trials(content, record, this->hooks.timers.now());
--- a/src/libs/site/trialclaims.h
+++ b/src/libs/site/trialclaims.h
@@ -51,7 +51,8 @@
     void write_claim(
         const request_content& content, log_offset end, unsigned reads_left, const answer_handler& on_answer);
     void take_records(const std::vector<keyed_record>& records);
-    void give(const request_content& content, const trial_record& record, const answer_handler& on_answer);
+    void grant_trial(
+        const request_content& content, const trial_record& record, const answer_handler& on_answer);
     void deny_trial(
         const request_content& content, const std::string& reason, const answer_handler& on_answer) const;
 
--- a/tests/auto/entry/tst_entryservice.cpp
+++ b/tests/auto/entry/tst_entryservice.cpp
@@ -155,7 +155,7 @@
     endpoint address;
 };
 
-TEST_F(entry_service_test, gives_a_whole_answer_that_ran_every_layer_in_order)
+TEST_F(entry_service_test, returns_a_complete_answer_that_ran_every_layer_in_order)
 {
     const http_response answer = this->chat();
     EXPECT_EQ(answer.status, 200);
@@ -211,7 +211,7 @@
     EXPECT_EQ(this->total(&engine_standin::violations), 0U);
 }
 
-TEST_F(entry_service_test, goes_round_engines_that_fail_each_in_its_own_way)
+TEST_F(entry_service_test, retries_on_other_engines_after_each_kind_of_failure)
 {
     for (const engine_fault fault : {engine_fault::error, engine_fault::refuse, engine_fault::wrong_stream}) {
         this->engines[0]->engine.set_fault(fault);
@@ -221,7 +221,7 @@
     }
 }
 
-TEST_F(entry_service_test, says_not_run_when_no_engine_can_be_reached)
+TEST_F(entry_service_test, reports_not_run_when_no_engine_is_reachable)
 {
     for (const auto& item : this->engines) {
         item->server.reset();
@@ -233,7 +233,7 @@
     EXPECT_EQ(json::parse(answer.body)["error"]["outcome"], "not-run");
 }
 
-TEST_F(entry_service_test, says_unknown_when_engines_failed_after_they_were_sent_the_request)
+TEST_F(entry_service_test, reports_unknown_when_engines_fail_after_the_request_was_sent)
 {
     for (const auto& item : this->engines) {
         item->engine.set_fault(engine_fault::error);
@@ -243,7 +243,7 @@
     EXPECT_EQ(find_header(answer.headers, "x-sailtiller-outcome"), "unknown");
 }
 
-TEST_F(entry_service_test, says_failed_when_an_engine_finds_fault_with_the_request_and_asks_no_other)
+TEST_F(entry_service_test, reports_failed_without_retry_when_an_engine_rejects_the_request)
 {
     for (const auto& item : this->engines) {
         item->engine.set_fault(engine_fault::reject);
@@ -293,7 +293,7 @@
     EXPECT_EQ(code_of(answer), "not_ready");
 }
 
-TEST_F(entry_service_test, a_stopping_host_takes_what_comes_until_its_grace_ends)
+TEST_F(entry_service_test, accepts_requests_during_a_stop_until_its_grace_period_ends)
 {
     this->entry.begin_stop(1min);
     EXPECT_EQ(this->chat().status, 200);
@@ -310,7 +310,7 @@
     EXPECT_EQ(this->metrics.rejected.value("stopping"), 2U);
 }
 
-TEST_F(entry_service_test, an_account_over_its_limit_is_told_when_to_come_again)
+TEST_F(entry_service_test, refuses_an_account_over_its_limit_with_retry_after)
 {
     this->content.accounts[0].limits.requests_per_second = 1.0;
     this->apply();
@@ -327,7 +327,7 @@
     EXPECT_EQ(answer["data"][0]["id"], "model-0");
 }
 
-TEST_F(entry_service_test, a_caller_that_leaves_cancels_its_stream_on_every_engine)
+TEST_F(entry_service_test, caller_disconnect_cancels_its_stream_on_every_engine)
 {
     http_request request;
     request.method = "POST";
@@ -348,7 +348,7 @@
     EXPECT_EQ(this->metrics.requests.value("abandoned"), 1U);
 }
 
-TEST_F(entry_service_test, passes_plain_calls_on_and_repeats_only_what_may_be_repeated)
+TEST_F(entry_service_test, forwards_service_calls_and_retries_only_repeatable_ones)
 {
     const http_response answer = this->call("GET", "/blobs/a?b=c", "");
     EXPECT_EQ(json::parse(answer.body)["path"], "/blobs/a?b=c");
--- a/tests/auto/fleet/tst_hosttable.cpp
+++ b/tests/auto/fleet/tst_hosttable.cpp
@@ -188,7 +188,7 @@
     EXPECT_EQ(this->table.live_hosts(this->now)[0].data_hall.value(), "new");
 }
 
-TEST(peer_report, survives_the_way_there)
+TEST(peer_report, round_trips_through_cbor)
 {
     peer_report report = make_report(make_host("a"));
     report.is_leaving = true;
--- a/tests/auto/gateway/tst_startupqueue.cpp
+++ b/tests/auto/gateway/tst_startupqueue.cpp
@@ -36,7 +36,7 @@
     std::vector<int> refused;
 };
 
-TEST_F(startup_queue_test, what_came_before_the_configuration_is_served_in_its_order)
+TEST_F(startup_queue_test, serves_queued_requests_in_order_once_ready)
 {
     EXPECT_TRUE(this->hold(1));
     this->pass(400ms);
@@ -52,7 +52,7 @@
     EXPECT_TRUE(this->refused.empty());
 }
 
-TEST_F(startup_queue_test, nothing_waits_for_longer_than_a_start_takes)
+TEST_F(startup_queue_test, refuses_queued_requests_after_the_maximum_wait)
 {
     this->pass(1s);
     EXPECT_TRUE(this->hold(1));
@@ -66,7 +66,7 @@
     EXPECT_TRUE(this->served.empty());
 }
 
-TEST_F(startup_queue_test, no_more_wait_than_there_is_memory_for)
+TEST_F(startup_queue_test, refuses_requests_above_the_queue_limit)
 {
     for (int number = 0; number < 3; ++number) {
         EXPECT_TRUE(this->hold(number));
--- a/tests/auto/site/tst_bundleexchange.cpp
+++ b/tests/auto/site/tst_bundleexchange.cpp
@@ -61,7 +61,7 @@
     {
         ++this->questions;
         host& other = *this->hosts[std::stoul(holder.id.value().substr(1))];
-        std::optional<std::string> answer = other.exchange->give();
+        std::optional<std::string> answer = other.exchange->make_answer();
         if (this->spoil && answer) {
             answer = "no zlib";
         }
@@ -150,7 +150,7 @@
     EXPECT_EQ(this->count_with(2), 400U);
 }
 
-TEST_F(bundle_exchange_test, one_holder_is_asked_at_a_time)
+TEST_F(bundle_exchange_test, queries_one_holder_at_a_time)
 {
     this->add_hosts(5, 2'500'000);
     for (std::size_t number = 1; number < 5; ++number) {
@@ -164,20 +164,20 @@
     EXPECT_EQ(this->questions, 1U) << "there is nothing newer";
 }
 
-TEST_F(bundle_exchange_test, a_holder_that_has_given_enough_is_asked_again_later)
+TEST_F(bundle_exchange_test, holder_over_its_budget_is_queried_again_later)
 {
     this->add_hosts(3, 2'500'000);
     this->hosts[0]->version = 2;
     this->hosts[0]->text = make_text(5'000'000); // exceeds the budget of one interval
-    EXPECT_TRUE(this->hosts[0]->exchange->give().has_value());
-    EXPECT_FALSE(this->hosts[0]->exchange->give().has_value());
+    EXPECT_TRUE(this->hosts[0]->exchange->make_answer().has_value());
+    EXPECT_FALSE(this->hosts[0]->exchange->make_answer().has_value());
     this->now += 100ms;
-    EXPECT_TRUE(this->hosts[0]->exchange->give().has_value());
+    EXPECT_TRUE(this->hosts[0]->exchange->make_answer().has_value());
     this->pass(2s);
     EXPECT_EQ(this->count_with(2), 3U);
 }
 
-TEST_F(bundle_exchange_test, malformed_bytes_are_told_and_change_nothing)
+TEST_F(bundle_exchange_test, reports_malformed_data_and_keeps_the_bundle)
 {
     this->add_hosts(2, 2'500'000);
     this->hosts[0]->version = 2;
@@ -192,11 +192,11 @@
     EXPECT_EQ(this->hosts[1]->giver, this->hosts[0]->name);
 }
 
-TEST_F(bundle_exchange_test, a_host_without_a_bundle_gives_none)
+TEST_F(bundle_exchange_test, host_without_a_bundle_sends_none)
 {
     this->add_hosts(1, 1'000'000);
     this->hosts[0]->version = 0;
-    EXPECT_FALSE(this->hosts[0]->exchange->give().has_value());
+    EXPECT_FALSE(this->hosts[0]->exchange->make_answer().has_value());
 }
 
 } // namespace
--- a/tests/auto/site/tst_entryexchange.cpp
+++ b/tests/auto/site/tst_entryexchange.cpp
@@ -85,7 +85,7 @@
     entry_exchange taker{{}, this->behind, this->make_hooks()};
 };
 
-TEST_F(entry_exchange_test, one_holder_at_a_time_is_asked)
+TEST_F(entry_exchange_test, queries_one_entry_holder_at_a_time)
 {
     this->fill_holder(3000);
     for (int report = 0; report < 8; ++report) {
@@ -93,7 +93,7 @@
     }
     ASSERT_EQ(this->questions.size(), 1U);
     EXPECT_FALSE(this->questions[0].known.has_value());
-    this->reply_to_question(this->giver.give(std::nullopt));
+    this->reply_to_question(this->giver.make_answer(std::nullopt));
     EXPECT_EQ(this->taken, std::vector<std::uint64_t>{3000U});
     EXPECT_EQ(this->behind.upstreams().entries().size(), 3000U);
     EXPECT_EQ(this->behind.upstreams_age(), duration(0));
@@ -101,7 +101,7 @@
     EXPECT_TRUE(this->questions.empty()) << "all entries have been received";
 }
 
-TEST_F(entry_exchange_test, another_holder_is_asked_after_one_that_gave_nothing)
+TEST_F(entry_exchange_test, queries_another_holder_after_one_without_an_answer)
 {
     this->fill_holder(10);
     this->receive_holder_report();
@@ -113,12 +113,12 @@
     EXPECT_EQ(this->questions.size(), 1U);
 }
 
-TEST_F(entry_exchange_test, a_list_is_packed_and_only_so_many_bytes_are_given_at_a_time)
+TEST_F(entry_exchange_test, compresses_lists_and_limits_bytes_per_interval)
 {
     this->fill_holder(3000);
     std::size_t given = 0;
     int answers = 0;
-    while (const std::optional<std::string> bytes = this->giver.give(std::nullopt)) {
+    while (const std::optional<std::string> bytes = this->giver.make_answer(std::nullopt)) {
         given += bytes->size();
         ++answers;
         ASSERT_LE(bytes->size(), 3000U * 200U / 5U);
@@ -127,36 +127,36 @@
     EXPECT_LE(
         given, entry_exchange_settings().max_bytes_per_interval + given / static_cast<std::size_t>(answers));
     this->now += 100ms;
-    EXPECT_TRUE(this->giver.give(std::nullopt).has_value());
+    EXPECT_TRUE(this->giver.make_answer(std::nullopt).has_value());
 }
 
-TEST_F(entry_exchange_test, a_list_that_was_packed_before_is_as_old_as_it_was_then)
+TEST_F(entry_exchange_test, reused_list_keeps_the_age_of_its_confirmation)
 {
     this->fill_holder(10);
-    const auto packed = this->giver.give(std::nullopt);
+    const auto packed = this->giver.make_answer(std::nullopt);
     this->now += 400ms;
     this->holder.apply_upstream_record({"later", "x"}, log_offset(10));
     this->holder.confirm_upstreams(this->now);
     this->receive_holder_report();
-    this->reply_to_question(this->giver.give(std::nullopt));
+    this->reply_to_question(this->giver.make_answer(std::nullopt));
     EXPECT_EQ(this->behind.upstreams_end(), log_offset(10));
     EXPECT_EQ(this->behind.upstreams_age(), duration(400ms));
     this->receive_holder_report();
     ASSERT_EQ(this->questions.size(), 1U);
     EXPECT_EQ(this->questions[0].known, log_offset(10));
-    this->reply_to_question(this->giver.give(log_offset(10)));
+    this->reply_to_question(this->giver.make_answer(log_offset(10)));
     EXPECT_EQ(this->behind.upstreams_end(), log_offset(11));
     EXPECT_EQ(this->behind.upstreams_age(), duration(0));
 }
 
-TEST_F(entry_exchange_test, who_knows_as_much_is_given_nothing)
+TEST_F(entry_exchange_test, sends_nothing_to_a_host_with_the_same_entries)
 {
-    EXPECT_FALSE(this->giver.give(std::nullopt).has_value()) << "it has no entries itself";
+    EXPECT_FALSE(this->giver.make_answer(std::nullopt).has_value()) << "it has no entries itself";
     this->fill_holder(10);
-    EXPECT_FALSE(this->giver.give(log_offset(10)).has_value());
+    EXPECT_FALSE(this->giver.make_answer(log_offset(10)).has_value());
 }
 
-TEST(entry_question, survives_the_way_there)
+TEST(entry_question, round_trips_through_cbor)
 {
     EXPECT_EQ(decode_entry_question(encode_entry_question(log_offset(7))), log_offset(7));
     EXPECT_FALSE(decode_entry_question(encode_entry_question(std::nullopt)).has_value());
--- a/tests/auto/site/tst_sitestate.cpp
+++ b/tests/auto/site/tst_sitestate.cpp
@@ -105,7 +105,7 @@
         hooks.now = [this] { return this->now; };
         entry_exchange giver({}, other.knowledge, hooks);
         hooks.ask = [&giver](const known_host&, const std::optional<log_offset>& known,
-                        const auto& on_answer) { on_answer(giver.give(known)); };
+                        const auto& on_answer) { on_answer(giver.make_answer(known)); };
         hooks.on_applied = [](log_offset) {};
         hooks.on_malformed = [](const known_host&, const std::string& reason) { FAIL() << reason; };
         entry_exchange taker({}, asker.knowledge, std::move(hooks));
@@ -117,7 +117,7 @@
     test_host second{this->now};
 };
 
-TEST_F(site_state_test, engines_tell_what_they_hold_while_the_entries_are_old)
+TEST_F(site_state_test, reported_layers_replace_stale_entries)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
@@ -144,7 +144,7 @@
     EXPECT_TRUE(held_by(this->first).is_empty());
 }
 
-TEST_F(site_state_test, an_engines_word_does_not_outlast_an_entry_that_stays_as_it_was)
+TEST_F(site_state_test, unchanged_entry_replaces_reported_layers_after_an_outage)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.knowledge.confirm_upstreams(this->now);
@@ -170,7 +170,7 @@
     EXPECT_TRUE(this->first.knowledge.upstreams().find(upstream_id("b"))->upstream.is_leaving);
 }
 
-TEST_F(site_state_test, a_whole_list_is_told_only_when_it_is_asked_for_by_itself)
+TEST_F(site_state_test, sends_a_whole_list_only_on_a_separate_query)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     peer_report question;
@@ -186,7 +186,7 @@
     EXPECT_NE(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_state_test, a_few_changes_are_told_to_those_who_want_them)
+TEST_F(site_state_test, sends_few_changes_in_reports_on_request)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     this->exchange(this->second, this->first);
@@ -207,7 +207,7 @@
 
 // Guards against answers that repeat all changes: each of eight answers to an outdated host held them, and
 // 986 hosts that started together transferred 13 MB each before the first request.
-TEST_F(site_state_test, many_changes_are_told_only_when_they_are_asked_for_by_themselves)
+TEST_F(site_state_test, sends_many_changes_only_on_a_separate_query)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(5));
     this->exchange(this->second, this->first);
@@ -226,7 +226,7 @@
 }
 
 // Guards against endless reads: hosts without a bundle all requested one from the store continuously.
-TEST_F(site_state_test, that_there_is_no_bundle_yet_is_confirmed_and_told_as_well)
+TEST_F(site_state_test, confirms_and_reports_the_absence_of_a_bundle)
 {
     this->first.knowledge.confirm_bundle(this->now);
     EXPECT_EQ(this->first.knowledge.bundle_age(), duration(0));
@@ -236,7 +236,7 @@
     EXPECT_TRUE(this->second.confirmations.empty());
 }
 
-TEST_F(site_state_test, a_younger_start_under_the_same_name_ends_the_one_before_on_every_host)
+TEST_F(site_state_test, newer_start_supersedes_the_previous_one_on_every_host)
 {
     this->first.knowledge.apply_upstream_list({{"a", "1000"}}, log_offset(1));
     this->exchange(this->second, this->first);
@@ -256,7 +256,7 @@
     EXPECT_NE(this->first.knowledge.upstreams().find(young), nullptr);
 }
 
-TEST_F(site_state_test, an_entry_that_names_none_to_use_ends_its_own_key_and_no_other)
+TEST_F(site_state_test, unusable_entry_removes_only_its_own_upstream)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.knowledge.note_store_failed(store_topic::upstreams);
@@ -270,7 +270,7 @@
     EXPECT_NE(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_state_test, an_entry_that_names_none_to_use_is_logged_once_for_each_content)
+TEST_F(site_state_test, unusable_entry_is_logged_once_per_value)
 {
     const auto count_lines = [this] {
         return std::count(this->first.events.begin(), this->first.events.end(), "upstream_entry_unusable");
@@ -286,7 +286,7 @@
     EXPECT_EQ(count_lines(), 1001) << "another key";
 }
 
-TEST_F(site_state_test, of_two_words_on_what_an_engine_holds_the_newer_one_counts)
+TEST_F(site_state_test, newer_of_two_reported_holdings_wins)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.confirm_upstreams(this->now);
@@ -306,7 +306,7 @@
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.held, newer);
 }
 
-TEST_F(site_state_test, the_version_never_falls)
+TEST_F(site_state_test, bundle_version_never_decreases)
 {
     this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.apply_bundle_record({"config", "5"});
@@ -316,7 +316,7 @@
     EXPECT_EQ(this->first.knowledge.bundle()->version.value(), 7U);
 }
 
-TEST_F(site_state_test, a_bundle_in_force_tells_who_gave_it_and_how_old_the_word_before_was)
+TEST_F(site_state_test, logs_source_of_a_bundle_and_age_of_the_previous_confirmation)
 {
     this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
@@ -334,7 +334,7 @@
             "from other, no bundle was confirmed before", "from other, known before as of 2714 ms ago"}));
 }
 
-TEST_F(site_state_test, each_new_confirmation_tells_how_old_the_last_one_had_become)
+TEST_F(site_state_test, confirmation_reports_the_age_of_the_previous_one)
 {
     this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
@@ -367,7 +367,7 @@
     EXPECT_FALSE(this->first.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_state_test, another_host_hands_on_a_newer_bundle)
+TEST_F(site_state_test, receives_a_newer_bundle_from_another_host)
 {
     this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
@@ -376,7 +376,7 @@
     EXPECT_TRUE(this->second.knowledge.is_bundle_fresh());
 }
 
-TEST_F(site_state_test, a_confirmation_counts_from_the_question_however_long_its_answer_took)
+TEST_F(site_state_test, confirmation_counts_from_the_query_regardless_of_answer_time)
 {
     this->first.knowledge.apply_bundle_record({"config", "7"});
     this->first.knowledge.confirm_bundle(this->now);
@@ -397,7 +397,7 @@
     EXPECT_EQ(this->second.knowledge.bundle()->version.value(), 9U);
 }
 
-TEST_F(site_state_test, entries_reach_a_host_that_does_not_read_and_no_change_is_told_twice)
+TEST_F(site_state_test, entries_reach_other_hosts_and_no_change_is_sent_twice)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(10));
     this->first.knowledge.confirm_upstreams(this->now);
@@ -413,7 +413,7 @@
     EXPECT_TRUE(answer.changes.empty());
 }
 
-TEST_F(site_state_test, an_old_read_does_not_undo_what_another_host_told)
+TEST_F(site_state_test, outdated_read_does_not_undo_newer_entries_from_another_host)
 {
     this->first.knowledge.apply_upstream_list({{"a", "leaving"}}, log_offset(20));
     this->exchange(this->second, this->first);
@@ -421,7 +421,7 @@
     EXPECT_TRUE(this->second.knowledge.upstreams().find(upstream_id("a"))->upstream.is_leaving);
 }
 
-TEST_F(site_state_test, a_host_that_the_store_turns_away_believes_what_others_read_as_gone)
+TEST_F(site_state_test, host_refused_by_the_store_applies_removals_read_by_others)
 {
     this->now += 10s; // a host that has just started does not know the earlier state of the store
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(10));
@@ -434,7 +434,7 @@
 
 // Guards against hosts with different lists after an entry was removed and rewritten during a store outage:
 // one host has read both the removal and the new entry, the other has removed the upstream.
-TEST_F(site_state_test, what_changes_nothing_for_its_reader_reaches_those_for_whom_it_does)
+TEST_F(site_state_test, forwards_records_that_change_nothing_on_their_reader)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->exchange(this->second, this->first);
@@ -459,7 +459,7 @@
     EXPECT_EQ(this->second.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_state_test, an_upstream_that_said_it_leaves_does_so_whatever_its_entry_says)
+TEST_F(site_state_test, leaving_notice_overrides_the_entry)
 {
     const upstream_id a("a");
     const auto is_leaving = [&a](const test_host& host) {
@@ -483,7 +483,7 @@
     EXPECT_TRUE(is_leaving(this->first)) << "its entry is back after its removal";
 }
 
-TEST_F(site_state_test, a_leaving_entry_that_lapsed_stays_lapsed_as_its_upstream_says_the_same)
+TEST_F(site_state_test, leaving_notice_keeps_a_lapsed_entry_lapsed)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(1));
     this->first.knowledge.note_store_failed(store_topic::upstreams);
@@ -495,7 +495,7 @@
     EXPECT_EQ(this->first.knowledge.upstreams().find(upstream_id("a")), nullptr);
 }
 
-TEST_F(site_state_test, who_said_that_it_leaves_is_told_to_other_hosts_and_forgotten_long_after_it_is_gone)
+TEST_F(site_state_test, leaving_notice_is_forwarded_and_dropped_after_retention)
 {
     const auto told_by = [](const test_host& host) {
         peer_report report;
@@ -520,7 +520,7 @@
     EXPECT_TRUE(told_by(this->first).leaving_upstreams.empty());
 }
 
-TEST_F(site_state_test, each_step_of_an_entry_that_vanishes_while_the_store_is_away_is_told)
+TEST_F(site_state_test, logs_each_state_of_an_entry_removed_during_an_outage)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}, {"b", "x"}}, log_offset(2));
     this->first.events.clear();
@@ -534,7 +534,7 @@
         (std::vector<std::string>{"upstream_lapsed", "upstream_lapsed", "upstream_back", "upstream_gone"}));
 }
 
-TEST_F(site_state_test, entries_that_vanish_while_the_store_is_away_are_kept_for_a_while_everywhere)
+TEST_F(site_state_test, entries_removed_during_an_outage_are_kept_for_the_grace_period)
 {
     this->first.knowledge.apply_upstream_list({{"a", "x"}}, log_offset(10));
     this->exchange(this->second, this->first);
--- a/tests/auto/site/tst_storereadschedule.cpp
+++ b/tests/auto/site/tst_storereadschedule.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-TEST(store_read_schedule_test, hosts_that_the_store_answers_take_the_readers_place)
+TEST(store_read_schedule_test, hosts_that_reach_the_store_replace_the_readers)
 {
     for (const store_access access : {store_access::silent, store_access::refuses}) {
         tests::site_fleet fleet(7);
@@ -42,7 +42,7 @@
     }
 }
 
-TEST(store_read_schedule_test, readers_that_are_answered_again_read_for_all_again)
+TEST(store_read_schedule_test, former_readers_read_again_once_they_reach_the_store)
 {
     tests::site_fleet fleet(7);
     fleet.set_access({0, 1}, store_access::silent);
@@ -57,7 +57,7 @@
     EXPECT_FALSE(fleet.is_reader(2));
 }
 
-TEST(store_read_schedule_test, a_store_that_was_away_for_all_brings_a_change_in_time_once_it_is_back)
+TEST(store_read_schedule_test, changes_are_in_force_in_time_after_a_store_outage)
 {
     tests::site_fleet fleet(7);
     fleet.set_access({0, 1, 2, 3, 4, 5, 6}, store_access::silent);
@@ -104,7 +104,7 @@
     EXPECT_LT(fleet.measure_delay(2), 1s);
 }
 
-TEST(store_read_schedule_test, a_host_that_starts_waits_for_the_others_before_it_reads)
+TEST(store_read_schedule_test, starting_host_waits_for_other_hosts_before_its_first_read)
 {
     const time_point now{100s};
     const auto is_due = [](const store_read_schedule& reading, time_point at) {
@@ -133,7 +133,7 @@
 
 // Guards against a slow store being overloaded: 986 hosts requested all changes at once and again each second
 // while it could not answer in time, and none of them served a request.
-TEST(store_read_schedule_test, hosts_that_are_no_candidates_take_turns_in_reading_for_themselves)
+TEST(store_read_schedule_test, non_candidates_spread_their_own_reads)
 {
     const time_point now{100s};
     int due_bundles = 0;
@@ -152,7 +152,7 @@
     EXPECT_LE(due_upstreams, 100);
 }
 
-TEST(store_read_schedule_test, a_slow_store_is_asked_by_few_hosts_of_a_large_fleet_and_found_again)
+TEST(store_read_schedule_test, few_hosts_of_a_large_fleet_read_a_slow_store_until_it_answers)
 {
     tests::site_fleet fleet(200, 5s);
     fleet.pass(5s);
--- a/tests/auto/site/tst_storerestore.cpp
+++ b/tests/auto/site/tst_storerestore.cpp
@@ -86,7 +86,7 @@
     fleet.set_access_of_all(store_access::answers);
 }
 
-void expect_sound_after_restore(duration away_time, unsigned writes_after)
+void expect_consistent_after_restore(duration away_time, unsigned writes_after)
 {
     const std::string when =
         std::to_string(away_time / 1ms) + " ms away, " + std::to_string(writes_after) + " writes after";
@@ -114,11 +114,11 @@
 
 // The critical case raises no error: by the time of the next read, the new history has grown past the old
 // offset, the read succeeds, and the state mixes two histories.
-TEST(store_restore_test, hosts_know_the_new_history_and_forget_no_leaving_of_the_old_one)
+TEST(store_restore_test, hosts_follow_the_new_history_and_keep_earlier_leaving)
 {
     for (const duration away_time : {0s, 1s, 4s}) {
         for (const unsigned writes_after : {0U, 1U, 3U, 8U, 40U}) {
-            expect_sound_after_restore(away_time, writes_after);
+            expect_consistent_after_restore(away_time, writes_after);
             if (HasFailure()) {
                 return;
             }
@@ -126,7 +126,7 @@
     }
 }
 
-TEST(store_restore_test, a_restore_within_a_restore_leaves_no_mix)
+TEST(store_restore_test, second_restore_during_the_first_leaves_consistent_lists)
 {
     for (duration between = 0s; between < 2s; between += 250ms) {
         site_fleet fleet(host_count);
@@ -142,7 +142,7 @@
     }
 }
 
-TEST(store_restore_test, the_bundle_in_force_never_falls_and_the_next_one_is_in_force_in_time)
+TEST(store_restore_test, bundle_in_force_never_goes_back_and_the_next_is_in_force_in_time)
 {
     for (const unsigned lost : {1U, 3U}) {
         site_fleet fleet(host_count);
@@ -196,7 +196,7 @@
     }
 
     /// The store removes the entries of upstreams that no longer write them.
-    void drop_silent()
+    void remove_silent()
     {
         const std::map<std::string, std::string> stored = this->fleet.upstreams().newest();
         for (const auto& [name, value] : stored) {
@@ -264,12 +264,12 @@
     fleet.set_access_of_all(store_access::answers);
     starts.write_again();
     fleet.pass(silence_limit);
-    starts.drop_silent();
+    starts.remove_silent();
     fleet.pass(6s);
     expect_same_lists(fleet, "seed " + std::to_string(seed));
 }
 
-TEST(store_restore_test, after_any_series_of_faults_all_hosts_know_what_the_store_knows)
+TEST(store_restore_test, all_hosts_match_the_store_after_any_series_of_faults)
 {
     constexpr unsigned seeds = 200; // run thousands by hand after a change of the protocol between hosts
     for (unsigned seed = 1; seed <= seeds; ++seed) {
--- a/tests/auto/site/tst_trialclaims.cpp
+++ b/tests/auto/site/tst_trialclaims.cpp
@@ -164,14 +164,14 @@
     request_content content{"c"};
 };
 
-TEST_F(trial_claims_test, of_hosts_that_claim_at_once_one_is_given_a_trial)
+TEST_F(trial_claims_test, grants_one_trial_for_concurrent_claims)
 {
     this->suspect_on_all();
     EXPECT_EQ(this->claim_on_all(), 1U);
     EXPECT_EQ(this->topic.values.size(), 1U);
 }
 
-TEST_F(trial_claims_test, the_fleet_gives_three_trials_whatever_hosts_come_and_go)
+TEST_F(trial_claims_test, grants_three_trials_per_fleet_across_restarts)
 {
     std::size_t given = 0;
     for (int round = 0; round < 20; ++round) {
@@ -186,7 +186,7 @@
     EXPECT_EQ(given, most_trials);
 }
 
-TEST_F(trial_claims_test, a_host_that_starts_knows_what_the_store_knows)
+TEST_F(trial_claims_test, starting_host_reads_earlier_trials_from_the_store)
 {
     this->suspect_on_all();
     this->claim_on_all();
@@ -201,7 +201,7 @@
     EXPECT_GT(judged.wait, duration(3s));
 }
 
-TEST_F(trial_claims_test, nothing_is_given_while_the_store_fails_or_loses_its_answer)
+TEST_F(trial_claims_test, denies_trials_while_the_store_fails_or_loses_answers)
 {
     this->suspect_on_all();
     this->topic.fails = true;
@@ -215,7 +215,7 @@
     EXPECT_EQ(this->claim_on_all(), 1U);
 }
 
-TEST_F(trial_claims_test, a_store_that_is_known_to_be_away_is_not_asked)
+TEST_F(trial_claims_test, does_not_query_a_store_known_to_be_unavailable)
 {
     this->suspect_on_all();
     claiming_host& host = *this->hosts.front();
@@ -227,7 +227,7 @@
     EXPECT_EQ(this->topic.calls, 0U);
 }
 
-TEST_F(trial_claims_test, a_record_that_can_not_be_read_costs_no_other)
+TEST_F(trial_claims_test, unreadable_record_does_not_affect_others)
 {
     this->topic.put({"broken", "?"});
     this->topic.put({"c", R"({"trials":3,"clearances":0})"});
--- a/tests/auto/site/tst_upstreamentries.cpp
+++ b/tests/auto/site/tst_upstreamentries.cpp
@@ -56,8 +56,7 @@
 // everything up to that offset. An entry that comes back before its upstream is dropped changes nothing on
 // its reader, so the others got the removal alone; the removal of an upstream that the readers had dropped
 // changed nothing there either. On all hosts the entries were confirmed as of 0.1 to 0.6 s ago.
-TEST(
-    upstream_entries_test, an_upstream_that_comes_back_and_leaves_after_the_store_was_away_is_left_everywhere)
+TEST(upstream_entries_test, upstream_back_after_an_outage_that_then_leaves_is_unused_on_all_hosts)
 {
     for (duration back_after = 0ms; back_after < 2s; back_after += 100ms) {
         const std::set<std::string> all = {"a", "b", "c"};
@@ -81,7 +80,8 @@
 
 /// The store removes the entries of all upstreams during an outage; they are rewritten `back_time` after its
 /// end. Until then all hosts except those restarted at its end go on using the upstreams.
-void expect_in_use_until_back(store_access kind, duration away_time, const std::vector<std::size_t>& started)
+void expect_in_use_until_rewritten(
+    store_access kind, duration away_time, const std::vector<std::size_t>& started)
 {
     constexpr duration back_time = 2s; // longest time that upstreams take
     const std::set<std::string> all = {"a", "b", "c"};
@@ -112,20 +112,20 @@
 {
     for (const store_access kind : {store_access::refuses, store_access::silent}) {
         for (duration away_time = 6s; away_time < 8s; away_time += 130ms) {
-            expect_in_use_until_back(kind, away_time, {});
+            expect_in_use_until_rewritten(kind, away_time, {});
         }
     }
 }
 
-TEST(upstream_entries_test, a_host_that_starts_at_the_stores_return_ends_no_upstream_of_others)
+TEST(upstream_entries_test, host_starting_at_the_end_of_an_outage_removes_no_upstream_of_others)
 {
     for (duration away_time = 6s; away_time < 8s; away_time += 130ms) {
-        expect_in_use_until_back(store_access::refuses, away_time, {0});
-        expect_in_use_until_back(store_access::refuses, away_time, {0, 1, 2});
+        expect_in_use_until_rewritten(store_access::refuses, away_time, {0});
+        expect_in_use_until_rewritten(store_access::refuses, away_time, {0, 1, 2});
     }
 }
 
-TEST(upstream_entries_test, hosts_that_start_or_were_cut_off_keep_no_leaving_upstream_in_use_elsewhere)
+TEST(upstream_entries_test, restarted_or_partitioned_hosts_do_not_keep_leaving_upstreams_in_use)
 {
     const std::vector<std::size_t> disturbed = {0, 3};
     for (const bool are_started : {false, true}) {
@@ -152,7 +152,7 @@
     }
 }
 
-TEST(upstream_entries_test, while_the_store_is_away_one_host_to_which_an_upstream_said_it_leaves_tells_all)
+TEST(upstream_entries_test, leaving_notice_of_one_host_reaches_all_during_an_outage)
 {
     site_fleet fleet(60);
     write_ready(fleet, {"a", "b"});
@@ -165,7 +165,7 @@
     }
 }
 
-TEST(upstream_entries_test, hosts_do_not_remind_each_other_for_ever_of_one_that_left)
+TEST(upstream_entries_test, leaving_notices_do_not_circulate_after_removal)
 {
     site_fleet fleet(7);
     write_ready(fleet, {"a", "b"});
@@ -195,7 +195,7 @@
     void play_round()
     {
         for (std::size_t count = 3 + this->draw(6); count > 0; --count) {
-            this->play_step();
+            this->run_step();
             this->fleet.pass(std::chrono::milliseconds(this->draw(1500)));
         }
         this->end_faults();
@@ -208,7 +208,7 @@
     std::size_t draw(std::size_t below) { return this->draws() % below; }
     std::string draw_name() { return std::string(1, static_cast<char>('a' + this->draw(6))); }
 
-    void play_step()
+    void run_step()
     {
         switch (this->draw(6)) {
         case 0:
@@ -239,7 +239,7 @@
     {
         const std::string name = this->draw_name();
         if (this->are_entries_at_risk && this->draw(2) == 0) {
-            this->drop_by_itself(name);
+            this->remove_entry_of_live_upstream(name);
             return;
         }
         constexpr std::array values = {"ready", "ready", "leaving", "broken"};
@@ -248,7 +248,7 @@
     }
 
     /// The store removes the entry; its upstream lives on and rewrites it once the store is back.
-    void drop_by_itself(const std::string& name)
+    void remove_entry_of_live_upstream(const std::string& name)
     {
         const auto known = this->fleet.upstreams().newest().find(name);
         if (known != this->fleet.upstreams().newest().end()) {
@@ -288,7 +288,7 @@
     std::map<std::string, std::string> dropped; ///< entries of live upstreams that the store has removed
 };
 
-void play_series(std::uint64_t seed)
+void run_fault_series(std::uint64_t seed)
 {
     SCOPED_TRACE("seed " + std::to_string(seed));
     fault_series series(seed);
@@ -297,22 +297,22 @@
     }
 }
 
-TEST(upstream_entries_test, hosts_come_to_the_same_list_after_any_series_of_faults)
+TEST(upstream_entries_test, hosts_converge_after_any_series_of_faults)
 {
     constexpr std::uint64_t seeds = 60;
     for (std::uint64_t seed = 1; seed <= seeds && !testing::Test::HasFailure(); ++seed) {
-        play_series(seed);
+        run_fault_series(seed);
     }
 }
 
-TEST(upstream_entries_test, hosts_come_to_the_same_list_after_series_that_once_parted_them)
+TEST(upstream_entries_test, hosts_converge_after_series_that_caused_divergence)
 {
     // A record that repeated the newest value of its key was omitted even where records in between were not
     // seen.
-    play_series(454);
+    run_fault_series(454);
     // A list was sent as its difference from the previous list to a host that by then had a record between
     // the two: a key that was removed and rewritten stayed removed there.
-    play_series(624);
+    run_fault_series(624);
 }
 
 } // namespace
--- a/tests/support/sitefleet.cpp
+++ b/tests/support/sitefleet.cpp
@@ -192,7 +192,7 @@
     hooks.own_text = [&item]() -> const std::string& { return item.knowledge->own_bundle_text(); };
     hooks.ask = [this](const known_host& holder, auto on_answer) {
         this->timers.schedule(this->now + paused_store::round_trip,
-            [this, holder, on_answer] { on_answer(this->find(holder.id).exchange->give()); });
+            [this, holder, on_answer] { on_answer(this->find(holder.id).exchange->make_answer()); });
     };
     hooks.take = [&item](const known_host& giver, const std::string& text) {
         item.knowledge->apply_bundle_text(text, {giver.id});
@@ -207,7 +207,7 @@
     hooks.now = [this] { return this->now; };
     hooks.ask = [this](const known_host& holder, const std::optional<log_offset>& known, auto on_answer) {
         this->timers.schedule(this->now + paused_store::round_trip, [this, holder, known, on_answer] {
-            on_answer(this->is_lost() ? std::nullopt : this->find(holder.id).entries->give(known));
+            on_answer(this->is_lost() ? std::nullopt : this->find(holder.id).entries->make_answer(known));
         });
     };
     hooks.on_applied = [&item](log_offset end) { item.upstream_follower->skip_to(end); };
