--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -26,8 +26,8 @@
     return item;
 }
 
-/// The caller's word on whether its request may run twice; without it, a completion may and a service call
-/// follows its method.
+/// Reads whether the caller allows its request to run twice. Without the header, completions may be repeated,
+/// and service calls by their method.
 std::optional<bool> read_repeatable(const http_request& request)
 {
     const std::optional<std::string> text = find_header(request.headers, "x-sailtiller-repeatable");
@@ -60,15 +60,15 @@
     exchange.respond(error_response(reason, {{"x-request-id", id.value()}}));
 }
 
-void entry_service::send_elsewhere(http_exchange& exchange, const request_id& id)
+void entry_service::refuse_while_stopping(http_exchange& exchange, const request_id& id)
 {
     caller_error reason = make_error(http_status::unavailable, "server_error", "stopping",
-        "this host stops and takes nothing more; another host takes the request now");
+        "this host is stopping and accepts no new requests; another host accepts the request now");
     reason.retry_after = retry_elsewhere_after;
     this->refuse(exchange, id, reason);
 }
 
-void entry_service::log_cut_off() const
+void entry_service::log_aborted_requests() const
 {
     const time_point now = this->context.timers.now();
     for (const auto& [id, arrived] : this->under_way) {
@@ -115,15 +115,15 @@
     request.id = request_id(make_random_id(this->context.random));
     request.exchange = exchange;
     request.started_at = this->context.timers.now();
-    // Judged here, where every request passes: closed listeners leave the connections that are open, and what
-    // comes over those after the grace would run into the end of the stop.
+    // Checked here because every request passes through. Closing listeners leaves connections open, and
+    // requests on these after the grace period would be cut off at the end of the stop.
     if (this->stop.is_grace_over(request.started_at)) {
-        this->send_elsewhere(*exchange, request.id);
+        this->refuse_while_stopping(*exchange, request.id);
         return std::nullopt;
     }
     if (!this->state) {
         caller_error reason = make_error(http_status::unavailable, "server_error", "not_ready",
-            "this host has no bundle in force yet; try again in a moment");
+            "this host has no bundle in force yet; retry after the time in Retry-After");
         reason.retry_after = not_ready_retry;
         this->refuse(*exchange, request.id, reason);
         return std::nullopt;
@@ -137,7 +137,7 @@
     if (account == nullptr) {
         this->refuse(*exchange, request.id,
             make_error(http_status::unauthorized, "authentication_error", "invalid_api_key",
-                has_key ? "the API key is not known; check it or ask the operators"
+                has_key ? "unknown API key; check it or ask the operators"
                         : "send an API key as 'Authorization: Bearer KEY'"));
         return std::nullopt;
     }
@@ -170,7 +170,7 @@
 void entry_service::refuse_by_limit(const admitted_request& request, const share_refusal& refusal)
 {
     caller_error reason = make_error(http_status::too_many_requests, "rate_limit_error", refusal.code.c_str(),
-        "the account is at its limit; come again after the time in Retry-After");
+        "the account is at its limit; retry after the time in Retry-After");
     reason.retry_after = refusal.retry_after;
     this->refuse(*request.exchange, request.id, reason);
 }
--- a/tests/auto/site/tst_bundleexchange.cpp
+++ b/tests/auto/site/tst_bundleexchange.cpp
@@ -9,9 +9,9 @@
 
 using namespace std::chrono_literals;
 
-/// Hosts with links of a given rate that tell each other their versions every 250 ms, eight at a time, and
-/// then exchange bundles. All under one paused clock.
-class test_fleet : public testing::Test
+/// Hosts with links of a given rate that exchange their versions every 250 ms with eight others, and then
+/// exchange bundles. All run under one simulated clock.
+class bundle_exchange_test : public testing::Test
 {
 protected:
     struct host
@@ -19,8 +19,8 @@
         known_host name;
         std::uint64_t version = 1;
         std::string text = "old";
-        known_host giver; ///< of the text; nobody for the first one
-        time_point link_free{}; ///< when the link has sent what it was given
+        known_host giver; ///< sender of the text; not set on the first host
+        time_point link_free{}; ///< when the link has sent all queued data
         std::uint64_t sent_bytes = 0;
         std::unique_ptr<bundle_exchange> exchange;
     };
@@ -54,13 +54,14 @@
         return hooks;
     }
 
-    /// The answer comes when the holder's link has sent it; nothing comes within a second if that is later.
+    /// Answers once the holder's link has sent the data; if that takes over a second, answers nothing after a
+    /// second.
     void ask(
         const known_host& holder, const std::function<void(const std::optional<std::string>&)>& on_answer)
     {
         ++this->questions;
         host& other = *this->hosts[std::stoul(holder.id.value().substr(1))];
-        std::optional<std::string> answer = other.exchange->give();
+        std::optional<std::string> answer = other.exchange->make_answer();
         if (this->spoil && answer) {
             answer = "no zlib";
         }
@@ -73,13 +74,13 @@
             [on_answer, answer, is_in_time] { on_answer(is_in_time ? answer : std::nullopt); });
     }
 
-    /// Every host hears the versions of eight others.
-    void exchange_reports()
+    /// Every host gets the versions of eight others.
+    void publish_versions()
     {
         for (const auto& item : this->hosts) {
             for (int turn = 0; turn < 8; ++turn) {
                 const host& other = *this->hosts[this->random() % this->hosts.size()];
-                item->exchange->note_holder(other.name, other.version);
+                item->exchange->record_holder(other.name, other.version);
             }
         }
     }
@@ -90,7 +91,7 @@
         while (this->now < end) {
             if (this->now >= this->next_reports) {
                 this->next_reports = this->now + 250ms;
-                this->exchange_reports();
+                this->publish_versions();
             }
             this->now += 5ms;
             this->timers.run_due(this->now);
@@ -114,7 +115,7 @@
     bool spoil = false;
 };
 
-/// Text that packs to about a tenth, as configurations do.
+/// Text that compresses to about a tenth, as configurations do.
 std::string make_text(std::size_t bytes)
 {
     const random_function random = make_seeded_random(3);
@@ -127,7 +128,7 @@
     return text;
 }
 
-TEST_F(test_fleet, a_large_bundle_reaches_sixty_hosts_on_slow_links_in_two_seconds)
+TEST_F(bundle_exchange_test, a_large_bundle_reaches_sixty_hosts_on_slow_links_in_two_seconds)
 {
     this->add_hosts(60, 2'500'000); // 20 Mbit/s
     this->hosts[0]->version = 2;
@@ -136,11 +137,11 @@
     EXPECT_EQ(this->count_with(2), 60U);
     EXPECT_EQ(this->hosts[59]->text, this->hosts[0]->text);
     for (const auto& item : this->hosts) {
-        EXPECT_LT(item->sent_bytes, 2'500'000) << "no link was full for the whole of a second";
+        EXPECT_LT(item->sent_bytes, 2'500'000) << "no link was saturated for a whole second";
     }
 }
 
-TEST_F(test_fleet, a_bundle_reaches_four_hundred_hosts_in_three_seconds)
+TEST_F(bundle_exchange_test, a_bundle_reaches_four_hundred_hosts_in_three_seconds)
 {
     this->add_hosts(400, 2'500'000);
     this->hosts[0]->version = 2;
@@ -149,13 +150,13 @@
     EXPECT_EQ(this->count_with(2), 400U);
 }
 
-TEST_F(test_fleet, one_holder_is_asked_at_a_time)
+TEST_F(bundle_exchange_test, queries_one_holder_at_a_time)
 {
     this->add_hosts(5, 2'500'000);
     for (std::size_t number = 1; number < 5; ++number) {
         this->hosts[number]->version = 2;
         this->hosts[number]->text = "new";
-        this->hosts[0]->exchange->note_holder(this->hosts[number]->name, 2);
+        this->hosts[0]->exchange->record_holder(this->hosts[number]->name, 2);
     }
     EXPECT_EQ(this->questions, 1U);
     this->pass(50ms);
@@ -163,20 +164,20 @@
     EXPECT_EQ(this->questions, 1U) << "there is nothing newer";
 }
 
-TEST_F(test_fleet, a_holder_that_has_given_enough_is_asked_again_later)
+TEST_F(bundle_exchange_test, holder_over_its_budget_is_queried_again_later)
 {
     this->add_hosts(3, 2'500'000);
     this->hosts[0]->version = 2;
-    this->hosts[0]->text = make_text(5'000'000); // one alone is more than an interval's bytes
-    EXPECT_TRUE(this->hosts[0]->exchange->give().has_value());
-    EXPECT_FALSE(this->hosts[0]->exchange->give().has_value());
+    this->hosts[0]->text = make_text(5'000'000); // exceeds the budget of one interval
+    EXPECT_TRUE(this->hosts[0]->exchange->make_answer().has_value());
+    EXPECT_FALSE(this->hosts[0]->exchange->make_answer().has_value());
     this->now += 100ms;
-    EXPECT_TRUE(this->hosts[0]->exchange->give().has_value());
+    EXPECT_TRUE(this->hosts[0]->exchange->make_answer().has_value());
     this->pass(2s);
     EXPECT_EQ(this->count_with(2), 3U);
 }
 
-TEST_F(test_fleet, malformed_bytes_are_told_and_change_nothing)
+TEST_F(bundle_exchange_test, reports_malformed_data_and_keeps_the_bundle)
 {
     this->add_hosts(2, 2'500'000);
     this->hosts[0]->version = 2;
@@ -191,11 +192,11 @@
     EXPECT_EQ(this->hosts[1]->giver, this->hosts[0]->name);
 }
 
-TEST_F(test_fleet, a_host_without_a_bundle_gives_none)
+TEST_F(bundle_exchange_test, host_without_a_bundle_sends_none)
 {
     this->add_hosts(1, 1'000'000);
     this->hosts[0]->version = 0;
-    EXPECT_FALSE(this->hosts[0]->exchange->give().has_value());
+    EXPECT_FALSE(this->hosts[0]->exchange->make_answer().has_value());
 }
 
 } // namespace
--- a/tests/auto/site/tst_trialclaims.cpp
+++ b/tests/auto/site/tst_trialclaims.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-/// The store's topic of suspect requests. Each call is answered some milliseconds after it came, so that
-/// calls of several hosts lie between each other.
+/// The topic of suspect requests in the store. Each call is answered some milliseconds later, so that calls
+/// of several hosts interleave.
 class suspects_topic
 {
 public:
@@ -57,7 +57,7 @@
     const time_point& now;
 };
 
-/// One host's memory and claims.
+/// Suspects and claims of one host.
 struct claiming_host
 {
     crash_suspects suspects;
@@ -137,7 +137,7 @@
         host.claims->claim(this->content, [&host](bool is_given) { host.answer = is_given; });
     }
 
-    /// All hosts claim at once. Returns how many were given a trial.
+    /// Claims a trial on all hosts at once. Returns the number of granted trials.
     std::size_t claim_on_all()
     {
         for (const auto& host : this->hosts) {
@@ -164,18 +164,18 @@
     request_content content{"c"};
 };
 
-TEST_F(trial_claims_test, of_hosts_that_claim_at_once_one_is_given_a_trial)
+TEST_F(trial_claims_test, grants_one_trial_for_concurrent_claims)
 {
     this->suspect_on_all();
     EXPECT_EQ(this->claim_on_all(), 1U);
     EXPECT_EQ(this->topic.values.size(), 1U);
 }
 
-TEST_F(trial_claims_test, the_fleet_gives_three_trials_whatever_hosts_come_and_go)
+TEST_F(trial_claims_test, grants_three_trials_per_fleet_across_restarts)
 {
     std::size_t given = 0;
     for (int round = 0; round < 20; ++round) {
-        this->start_hosts(3); // all are restarted at once and know nothing
+        this->start_hosts(3); // all are restarted at once without state
         for (const auto& host : this->hosts) {
             host->claims->start();
         }
@@ -186,7 +186,7 @@
     EXPECT_EQ(given, max_trials);
 }
 
-TEST_F(trial_claims_test, a_host_that_starts_knows_what_the_store_knows)
+TEST_F(trial_claims_test, starting_host_reads_earlier_trials_from_the_store)
 {
     this->suspect_on_all();
     this->claim_on_all();
@@ -196,12 +196,12 @@
     this->pass(1s);
     this->topic.fails = false;
     this->pass(1s);
-    const send_assessment judged = this->hosts.front()->suspects.assess(this->content, this->now);
-    EXPECT_EQ(judged.decision, send_decision::later) << "one trial was given, by a host that is gone";
+    const send_assessment judged = this->hosts.front()->suspects.judge(this->content, this->now);
+    EXPECT_EQ(judged.judgement, send_decision::later) << "one trial was granted, to a host that has ended";
     EXPECT_GT(judged.wait, duration(3s));
 }
 
-TEST_F(trial_claims_test, nothing_is_given_while_the_store_fails_or_loses_its_answer)
+TEST_F(trial_claims_test, denies_trials_while_the_store_fails_or_loses_answers)
 {
     this->suspect_on_all();
     this->topic.fails = true;
@@ -210,24 +210,24 @@
     this->topic.loses_answers = true;
     EXPECT_EQ(this->claim_on_all(), 0U);
     this->topic.loses_answers = false;
-    EXPECT_EQ(this->claim_on_all(), 0U) << "a trial was written, and may be under way";
+    EXPECT_EQ(this->claim_on_all(), 0U) << "a trial was written and may be in progress";
     this->pass(5s);
     EXPECT_EQ(this->claim_on_all(), 1U);
 }
 
-TEST_F(trial_claims_test, a_store_that_is_known_to_be_away_is_not_asked)
+TEST_F(trial_claims_test, does_not_query_a_store_known_to_be_unavailable)
 {
     this->suspect_on_all();
     claiming_host& host = *this->hosts.front();
     host.is_store_reached = false;
     this->claim(host);
-    EXPECT_FALSE(host.answer) << "it answers later, as ever";
+    EXPECT_FALSE(host.answer) << "claims are always answered asynchronously";
     this->pass(5ms);
     EXPECT_EQ(host.answer, std::optional(false));
     EXPECT_EQ(this->topic.calls, 0U);
 }
 
-TEST_F(trial_claims_test, a_record_that_can_not_be_read_costs_no_other)
+TEST_F(trial_claims_test, unreadable_record_does_not_affect_others)
 {
     this->topic.put({"broken", "?"});
     this->topic.put({"c", R"({"trials":3,"clearances":0})"});
