--- a/src/libs/delivery/callerrequest.h
+++ b/src/libs/delivery/callerrequest.h
@@ -29,7 +29,7 @@
     std::optional<duration> time_limit; ///< time that the caller waits for the answer
     std::optional<std::uint64_t> last_event; ///< resumes the stream after this event
     double prompt_tokens = 0;
-    double most_answer_tokens = 0;
+    double max_answer_tokens = 0;
     std::optional<double> predicted_answer_tokens; ///< median estimate, with a wide spread
     http_headers passed_on; ///< headers forwarded to the upstream unchanged
 };
--- a/src/libs/delivery/decisionlog.cpp
+++ b/src/libs/delivery/decisionlog.cpp
@@ -3,9 +3,9 @@
 
 namespace sailtiller {
 
-decision_log::decision_log(std::size_t most_requests, std::size_t most_decisions)
+decision_log::decision_log(std::size_t most_requests, std::size_t max_decisions)
     : most_requests(most_requests)
-    , most_decisions(most_decisions)
+    , max_decisions(max_decisions)
 {
 }
 
@@ -15,7 +15,7 @@
     if (is_new) {
         this->order.push_back(request);
     }
-    if (entry->second.size() < this->most_decisions) {
+    if (entry->second.size() < this->max_decisions) {
         entry->second.push_back(std::move(item));
     }
     if (this->order.size() > this->most_requests) {
--- a/src/libs/delivery/decisionlog.h
+++ b/src/libs/delivery/decisionlog.h
@@ -24,7 +24,7 @@
 class decision_log
 {
 public:
-    explicit decision_log(std::size_t most_requests, std::size_t most_decisions = 64);
+    explicit decision_log(std::size_t most_requests, std::size_t max_decisions = 64);
 
     void note(const request_id& request, decision item);
     /// Returns null if the request is unknown or has been evicted.
@@ -33,7 +33,7 @@
 
 private:
     std::size_t most_requests;
-    std::size_t most_decisions;
+    std::size_t max_decisions;
     std::unordered_map<request_id, std::vector<decision>> entries;
     std::deque<request_id> order;
 };
--- a/src/libs/delivery/deliverycontext.cpp
+++ b/src/libs/delivery/deliverycontext.cpp
@@ -113,13 +113,13 @@
 void avoid_unwilling(const delivery_context& context, const upstream_id& id)
 {
     context.loads.note_unwilling(
-        id, context.timers.now(), context.settings.unwilling_pause, context.settings.longest_unwilling_pause);
+        id, context.timers.now(), context.settings.unwilling_pause, context.settings.max_unwilling_pause);
 }
 
 void note_failure(const delivery_context& context, const upstream_id& id)
 {
     context.loads.note_failure(
-        id, context.timers.now(), context.settings.unwilling_pause, context.settings.longest_unwilling_pause);
+        id, context.timers.now(), context.settings.unwilling_pause, context.settings.max_unwilling_pause);
 }
 
 void note_answer(
--- a/src/libs/delivery/deliverycontext.h
+++ b/src/libs/delivery/deliverycontext.h
@@ -75,7 +75,7 @@
     /// to callers within two seconds.
     duration unwilling_pause = std::chrono::milliseconds(1500);
     /// Upper bound of the doubled `unwilling_pause`; a drain takes seconds.
-    duration longest_unwilling_pause = std::chrono::seconds(6);
+    duration max_unwilling_pause = std::chrono::seconds(6);
     double max_idle_load = 0.5;
     /// Interval between path searches while some layer has no holder.
     duration search_pause = std::chrono::milliseconds(25);
@@ -96,20 +96,20 @@
     /// Pause before the next path search when every path contains a dead upstream.
     duration change_pause = std::chrono::milliseconds(40);
     /// Path changes allowed without a further pause after one failure. The pause before each later one
-    /// doubles, up to `longest_resend_pause`.
+    /// doubles, up to `max_resend_pause`.
     unsigned immediate_changes = 4;
     /// Maximum number of sends per request, including refused ones; beyond it the caller gets a retry-after
     /// answer.
     unsigned max_sends = 5;
     /// Sends without a pause. Later sends wait for `first_resend_pause`, which doubles each time up to
-    /// `longest_resend_pause`.
+    /// `max_resend_pause`.
     unsigned immediate_sends = 4;
     duration first_resend_pause = std::chrono::milliseconds(60);
-    duration longest_resend_pause = std::chrono::milliseconds(400);
+    duration max_resend_pause = std::chrono::milliseconds(400);
     /// Maximum time after a send in which a closed connection is treated as already closed when reused: one
     /// round trip, or one retransmission of a lost packet. If it closes later, the upstream had the request,
     /// and a resent copy would carry an outdated remaining time.
-    duration longest_until_resend = std::chrono::milliseconds(250);
+    duration max_resend_delay = std::chrono::milliseconds(250);
 };
 
 struct delivery_order;
--- a/src/libs/delivery/pathchanges.cpp
+++ b/src/libs/delivery/pathchanges.cpp
@@ -17,7 +17,7 @@
     const delivery_settings& settings = this->context.settings;
     duration pause = duration::zero();
     for (unsigned change = settings.immediate_changes; change <= this->taken; ++change) {
-        pause = std::min(std::max(2 * pause, settings.change_pause), settings.longest_resend_pause);
+        pause = std::min(std::max(2 * pause, settings.change_pause), settings.max_resend_pause);
     }
     this->next_at = this->context.timers.now() + pause;
 }
@@ -27,7 +27,7 @@
     --this->taken;
     duration pause = this->context.settings.change_pause;
     for (unsigned answer = 0; answer < this->unknown; ++answer) {
-        pause = std::min(2 * pause, this->context.settings.longest_resend_pause);
+        pause = std::min(2 * pause, this->context.settings.max_resend_pause);
     }
     ++this->unknown;
     return pause;
--- a/src/libs/delivery/pathchooser.cpp
+++ b/src/libs/delivery/pathchooser.cpp
@@ -14,9 +14,9 @@
 double path_chooser::expected_answer_tokens() const
 {
     const caller_request& request = this->order.request;
-    double tokens = request.predicted_answer_tokens.value_or(request.most_answer_tokens);
-    if (request.most_answer_tokens > 0) {
-        tokens = std::min(tokens, request.most_answer_tokens);
+    double tokens = request.predicted_answer_tokens.value_or(request.max_answer_tokens);
+    if (request.max_answer_tokens > 0) {
+        tokens = std::min(tokens, request.max_answer_tokens);
     }
     return std::max(tokens, 1.0);
 }
--- a/src/libs/delivery/plaindelivery.cpp
+++ b/src/libs/delivery/plaindelivery.cpp
@@ -91,10 +91,10 @@
         this->refuse("no upstream of the service is available");
         return;
     }
-    this->search_later();
+    this->schedule_search();
 }
 
-void plain_delivery::search_later()
+void plain_delivery::schedule_search()
 {
     this->search_timer = this->context.timers.schedule_after(
         this->context.settings.search_pause, [self = this->shared_from_this()] { self->search(); });
@@ -102,12 +102,12 @@
 
 bool plain_delivery::is_cleared_to_send()
 {
-    const auto look_again = [self = this->shared_from_this()] {
+    const auto retry_search = [self = this->shared_from_this()] {
         if (!self->is_done) {
             self->search();
         }
     };
-    return this->guard.is_cleared_to_send(look_again,
+    return this->guard.is_cleared_to_send(retry_search,
         [this](const std::string& reason, duration retry_after) { this->refuse(reason, retry_after); });
 }
 
@@ -123,7 +123,7 @@
         return;
     }
     if (!this->gate.take(upstream.id)) {
-        this->search_later();
+        this->schedule_search();
         return;
     }
     if (this->sends > 0) {
--- a/src/libs/delivery/plaindelivery.h
+++ b/src/libs/delivery/plaindelivery.h
@@ -26,7 +26,7 @@
 
 private:
     void search();
-    void search_later();
+    void schedule_search();
     /// Returns the best upstream other than the target of the current call; null if there is none.
     [[nodiscard]] const discovered_upstream* choose() const;
     /// Returns true if the upstream serves this request, regardless of its current availability.
--- a/src/libs/delivery/streamdelivery.cpp
+++ b/src/libs/delivery/streamdelivery.cpp
@@ -67,19 +67,19 @@
             this->context.settings.retry_after);
         return;
     }
-    this->search_later(
+    this->schedule_search(
         found ? search_obstacle::room : search_obstacle::path, this->context.settings.search_pause);
 }
 
 bool stream_delivery::is_cleared_to_send()
 {
-    const auto look_again = [self = this->shared_from_this()] {
+    const auto retry_search = [self = this->shared_from_this()] {
         if (self->state == phase::searching) {
             self->search();
         }
     };
     return this->guard.is_cleared_to_send(
-        look_again, [this](const std::string& reason, duration retry_after) {
+        retry_search, [this](const std::string& reason, duration retry_after) {
             this->refuse(stream_end::suspected_request, reason, retry_after);
         });
 }
@@ -98,7 +98,7 @@
         return;
     }
     if (!this->gate.take(found.front().id)) {
-        this->search_later(search_obstacle::upstream_limit, this->context.settings.search_pause);
+        this->schedule_search(search_obstacle::upstream_limit, this->context.settings.search_pause);
         return;
     }
     if (!is_first) {
@@ -130,10 +130,10 @@
     }
     // A caller with a started answer can't be asked to retry; the allowance grows with each request and over
     // time.
-    this->search_later(search_obstacle::retry_allowance, this->context.settings.first_resend_pause);
+    this->schedule_search(search_obstacle::retry_allowance, this->context.settings.first_resend_pause);
 }
 
-void stream_delivery::search_later(search_obstacle obstacle, duration pause)
+void stream_delivery::schedule_search(search_obstacle obstacle, duration pause)
 {
     this->obstacles.note(obstacle, this->context.timers.now());
     this->search_check.schedule(pause, [self = this->shared_from_this()] { self->search(); });
@@ -157,15 +157,15 @@
     if (!this->is_under_way()) {
         return;
     }
-    bool is_passed = false;
+    bool is_on_path = false;
     for (const upstream_id& id : ids) {
         if (this->path.passes(id)) {
             this->guard.note_ended(id);
             this->avoided.insert(id);
-            is_passed = true;
+            is_on_path = true;
         }
     }
-    if (!is_passed) {
+    if (!is_on_path) {
         return;
     }
     const upstream_id& head = this->path.head().id;
@@ -194,9 +194,9 @@
     // While no other upstream can run the request, abandoning the call would only lose that answer, so the
     // caller decides how long to wait. A caller that has no answer yet and may retry is refused at once.
     const bool refuse_early = !this->has_started && this->order.route->may_repeat();
-    const bool may_follow =
+    const bool has_alternative =
         this->sends.may_send_now(this->has_started) && this->chooser.find(this->avoided).has_value();
-    if (refuse_early || may_follow) {
+    if (refuse_early || has_alternative) {
         this->fail_over("the first engine of its path is dead");
         return;
     }
@@ -416,7 +416,7 @@
         return;
     }
     this->state = phase::searching;
-    this->search_later(search_obstacle::refusal, pause);
+    this->schedule_search(search_obstacle::refusal, pause);
 }
 
 /// Handles a status other than 200 of an upstream that has started the request.
@@ -476,7 +476,7 @@
             this->context.settings.retry_after);
         return;
     }
-    this->search_later(search_obstacle::configuration, this->context.settings.search_pause);
+    this->schedule_search(search_obstacle::configuration, this->context.settings.search_pause);
 }
 
 void stream_delivery::refuse(stream_end cause, const std::string& reason)
--- a/src/libs/delivery/streamdelivery.h
+++ b/src/libs/delivery/streamdelivery.h
@@ -55,7 +55,7 @@
     void send_over(layer_path found);
     void wait_for_allowance();
     /// Repeats the search after the pause and records the obstacle.
-    void search_later(search_obstacle obstacle, duration pause);
+    void schedule_search(search_obstacle obstacle, duration pause);
     /// Returns true if the request may be sent now. A request suspected of crashing its upstreams otherwise
     /// is refused, or continues once its trial is decided.
     [[nodiscard]] bool is_cleared_to_send();
--- a/src/libs/delivery/streamrelay.cpp
+++ b/src/libs/delivery/streamrelay.cpp
@@ -145,9 +145,9 @@
     }
     const std::optional<duration> usual = this->stage().load->answer_time();
     // Abandoning a slow upstream helps only if another attempt is allowed.
-    const bool may_follow =
+    const bool has_alternative =
         this->request.is_repeatable && this->attempt.value() < this->request.most_attempts;
-    if (!may_follow || !usual) {
+    if (!has_alternative || !usual) {
         return this->request.times.step;
     }
     return std::min(this->request.times.step, std::max(min_suspicion_time, *usual * suspicion_factor));
--- a/src/libs/delivery/streamsends.cpp
+++ b/src/libs/delivery/streamsends.cpp
@@ -25,7 +25,7 @@
     }
     duration pause = settings.first_resend_pause;
     for (unsigned send = settings.immediate_sends; send < this->sent; ++send) {
-        pause = std::min(2 * pause, settings.longest_resend_pause);
+        pause = std::min(2 * pause, settings.max_resend_pause);
     }
     return pause;
 }
--- a/src/libs/delivery/suspectguard.cpp
+++ b/src/libs/delivery/suspectguard.cpp
@@ -80,9 +80,9 @@
 void suspect_guard::note_ended(const upstream_id& upstream)
 {
     const time_point now = this->context.timers.now();
-    const bool is_past = this->first_progress && now - *this->first_progress > max_start_time;
+    const bool is_past_start_phase = this->first_progress && now - *this->first_progress > max_start_time;
     // Several engines of one path may crash together; they count once per send.
-    if (is_past || this->is_counted) {
+    if (is_past_start_phase || this->is_counted) {
         return;
     }
     this->is_counted = true;
--- a/src/libs/delivery/upstreamcall.cpp
+++ b/src/libs/delivery/upstreamcall.cpp
@@ -54,7 +54,7 @@
 bool upstream_call::take_resend()
 {
     const time_point now = this->context.timers.now();
-    const bool had_it = now - this->first_sent > this->context.settings.longest_until_resend;
+    const bool had_it = now - this->first_sent > this->context.settings.max_resend_delay;
     const bool may_go = !had_it && upstream_gate(this->context, this->order).take(this->target);
     if (!may_go || !this->context.retries.take(this->order.service, now)) {
         return false;
--- a/tests/auto/delivery/deliveryfixture.cpp
+++ b/tests/auto/delivery/deliveryfixture.cpp
@@ -143,7 +143,7 @@
     order.request.id = request_id("r1");
     order.request.method = "POST";
     order.request.prompt_tokens = 80;
-    order.request.most_answer_tokens = 20;
+    order.request.max_answer_tokens = 20;
     order.bundle = this->bundle;
     order.route = &this->bundle->routes.front();
     order.service = service_id(kind == route_kind::stream ? "llm" : "plain");
--- a/tests/auto/platform/tst_wire.cpp
+++ b/tests/auto/platform/tst_wire.cpp
@@ -122,7 +122,7 @@
     EXPECT_EQ(*request.time_limit, duration(1500ms));
     EXPECT_EQ(*request.last_event, 12U);
     EXPECT_EQ(request.prompt_tokens, 1460);
-    EXPECT_EQ(request.most_answer_tokens, 80);
+    EXPECT_EQ(request.max_answer_tokens, 80);
     EXPECT_EQ(*request.predicted_answer_tokens, 40);
 }
 
