--- a/src/libs/delivery/callerrequest.h
+++ b/src/libs/delivery/callerrequest.h
@@ -22,7 +22,7 @@
 {
     request_id id; ///< chosen by the caller; differs for each retry
     std::string method;
-    std::string path; ///< including the query, not decoded
+    std::string path; ///< including the query, as sent
     std::string host; ///< virtual host
     std::string body;
     std::optional<std::string> key; ///< API key that identifies the client account
--- a/src/libs/delivery/deliverycontext.h
+++ b/src/libs/delivery/deliverycontext.h
@@ -81,8 +81,8 @@
     duration search_pause = std::chrono::milliseconds(25);
     /// Share of the latency objective for which a request without a path is held before it is refused.
     double max_hold_share = 0.2;
-    /// Hold share for a returning caller, which gives up after another refusal. It waits for at most four
-    /// objectives without an answer.
+    /// Hold share for a returning caller, which gives up when refused again, and leaves after four objectives
+    /// without an answer.
     double max_returning_hold_share = 3;
     /// Maximum load share of an upstream on the path of a new request; one more request would cause
     /// preemption. Expected answers count in full, so a share of 1 is not quite full.
--- a/src/libs/delivery/pathuse.h
+++ b/src/libs/delivery/pathuse.h
@@ -34,8 +34,8 @@
     /// Returns the engine that refused: the engine of the path at this address, otherwise the head.
     [[nodiscard]] const path_part& find_refusing_stage(const std::optional<endpoint>& at_fault) const;
     [[nodiscard]] bool passes(const upstream_id& id) const;
-    /// Returns true if one of these upstreams is on the path behind the head, which a path change can't
-    /// replace.
+    /// Returns true if the path behind the head, which can be replaced by a path change, contains one of
+    /// these upstreams.
     [[nodiscard]] bool includes_behind_head(const std::set<upstream_id>& ids) const;
     /// Returns true if `next` crosses between halls more often than the current path.
     [[nodiscard]] bool crosses_fewer_halls_than(const layer_path& next) const;
--- a/src/libs/delivery/suspectguard.cpp
+++ b/src/libs/delivery/suspectguard.cpp
@@ -5,9 +5,10 @@
 
 namespace {
 
-/// Maximum time from the first event to a crash that the request may have caused. Such crashes come early: 45
-/// to 77 ms after the first step in four cases, and without any event in 27 of 28 crashes. Requests answered
-/// for longer are not the cause: 88 of 813 streams broken by the same crashes had no event.
+/// Maximum time from the first event to a crash that counts against the request. Requests that crash an
+/// engine do so early: 45 to 77 ms after the first step in four cases, and without any event in 27 of 28
+/// crashes. A stream answered for longer is unrelated: of 813 streams that broke with their engines, 88 had
+/// no event.
 constexpr duration max_start_time = std::chrono::milliseconds(250);
 
 } // namespace
--- a/src/libs/delivery/upstreamgate.h
+++ b/src/libs/delivery/upstreamgate.h
@@ -17,7 +17,7 @@
     {
     }
 
-    /// Returns true if no upstream has set a pause or a limit.
+    /// Returns true if no pause or limit of any upstream applies.
     [[nodiscard]] bool is_open() const;
     /// Returns true if a request may be sent to the upstream now. Requests a share of the upstream's limit if
     /// only that prevents it.
--- a/tests/auto/delivery/tst_streamdelivery.cpp
+++ b/tests/auto/delivery/tst_streamdelivery.cpp
@@ -642,7 +642,7 @@
 // Guards against a third run on a route that allows two. A first engine's run breaks after some events and a
 // second engine completes the request, but its answer is still on a congested link when the stream asks for a
 // path change. The engine no longer knows the request. If the stream takes that as "not started", it abandons
-// the call without counting a run and sends to a third engine.
+// the call without counting a run and sends to a third engine 0.3 s later.
 TEST_F(stream_delivery_test, an_engine_that_no_longer_knows_the_request_may_have_run_it)
 {
     this->put_engine("second", 3, {0, 8});
--- a/tests/auto/delivery/tst_streamendings.cpp
+++ b/tests/auto/delivery/tst_streamendings.cpp
@@ -70,8 +70,8 @@
         std::make_pair(event_type::path_change_refused, std::string("failed: no answer within 86 ms")));
 }
 
-// Guards against ending the last allowed run after a failed probe: an engine answered probes again 286 ms
-// before the host ended its stream.
+// Guards against ending the last allowed run after a failed probe: an engine answered probes 286 ms before
+// the host ended its stream.
 TEST_F(stream_endings_test, the_last_allowed_run_is_not_ended_by_a_failed_probe)
 {
     this->put_engine("second", 3, {0, 8});
