--- a/src/libs/placement/layoutbalance.cpp
+++ b/src/libs/placement/layoutbalance.cpp
@@ -196,7 +196,7 @@
     {
         const layer_span& own = this->held.at(&engine);
         this->visit_spans(engine, [&](const layer_span& span) {
-            if (!this->may_send_first_byte(own, span)) {
+            if (!this->may_leave(own, span)) {
                 return;
             }
             const double overall = this->rates.overall_after(engine, own, span);
@@ -207,7 +207,7 @@
     }
 
     /// True if every layer that the engine would give up has holders enough.
-    [[nodiscard]] bool may_send_first_byte(const layer_span& from, const layer_span& to) const
+    [[nodiscard]] bool may_leave(const layer_span& from, const layer_span& to) const
     {
         const bool leaves_head = from.holds(0) && !to.holds(0);
         return this->coverage.may_lose(from, to)
--- a/src/libs/runtime/httpserver.cpp
+++ b/src/libs/runtime/httpserver.cpp
@@ -80,7 +80,7 @@
 
     /// Gives the limits to h2o, as far as it knows them.
     void apply_limits();
-    void schedule_poll();
+    void schedule_look();
     /// Closes connections that rest for too long or whose headers take too long.
     void look_at_connections();
     [[nodiscard]] bool is_overdue(h2o_socket_t& socket, const connection_entry& entry, time_point now) const;
@@ -97,7 +97,7 @@
     std::vector<h2o_socket_t*> listeners;
     std::set<h2o_socket_t*> connections;
     std::shared_ptr<bool> is_closing = std::make_shared<bool>(false);
-    timer_id poll_timer = 0;
+    timer_id look_timer = 0;
     std::set<const h2o_req_t*> handled; ///< requests that the handler answers, not h2o by itself
 };
 
@@ -173,16 +173,16 @@
         static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(longest).count());
 }
 
-void http_server::state::schedule_poll()
+void http_server::state::schedule_look()
 {
     const bool is_needed = this->limits.idle_time || this->limits.header_time;
-    if (!is_needed || this->poll_timer != 0) {
+    if (!is_needed || this->look_timer != 0) {
         return;
     }
-    this->poll_timer = this->loop.schedule_after(connection_look_interval, [this] {
-        this->poll_timer = 0;
+    this->look_timer = this->loop.schedule_after(connection_look_interval, [this] {
+        this->look_timer = 0;
         this->look_at_connections();
-        this->schedule_poll();
+        this->schedule_look();
     });
 }
 
@@ -310,19 +310,19 @@
         this->inner->tls = make_ssl_context(*tls);
     }
     this->inner->configure();
-    this->inner->schedule_poll();
+    this->inner->schedule_look();
 }
 
 void http_server::set_limits(const http_server_limits& limits)
 {
     this->inner->limits = limits;
     this->inner->apply_limits();
-    this->inner->schedule_poll();
+    this->inner->schedule_look();
 }
 
 http_server::~http_server()
 {
-    this->inner->loop.cancel(this->inner->poll_timer);
+    this->inner->loop.cancel(this->inner->look_timer);
     this->close_listeners();
     this->inner->end_connections();
     if (this->inner->connections.empty()) {
