--- a/src/app/sailtillerd/sitehost.cpp
+++ b/src/app/sailtillerd/sitehost.cpp
@@ -218,8 +218,10 @@
         this->limits.take_report(report);
     };
     hooks.answer_limit = [this](const limit_query& question) { return this->limits.answer(question); };
-    hooks.give_bundle = [this] { return this->bundles.give(); };
-    hooks.give_entries = [this](const std::optional<log_offset>& known) { return this->entries.give(known); };
+    hooks.give_bundle = [this] { return this->bundles.make_answer(); };
+    hooks.give_entries = [this](const std::optional<log_offset>& known) {
+        return this->entries.make_answer(known);
+    };
     hooks.on_records = [this](const host_table& hosts) {
         this->take_place(hosts);
         this->reading.note_records(this->loop.now());
--- a/src/app/sailtillerd/upstreamhealth.cpp
+++ b/src/app/sailtillerd/upstreamhealth.cpp
@@ -107,7 +107,7 @@
         return;
     }
     const time_point now = this->loop.now();
-    if (const std::optional<time_point> until = this->told.note(item.id, teller, now + item.left, now)) {
+    if (const std::optional<time_point> until = this->told.note(item.id, reporter, now + item.left, now)) {
         this->loads.suspend_on_report(item.id, *until);
         this->watch.prober().note_reported_dead(item.id);
     }
--- a/src/libs/site/sitestate.h
+++ b/src/libs/site/sitestate.h
@@ -5,7 +5,7 @@
 #include <bundle/sitebundle.h>
 #include <directory/upstreamdirectory.h>
 #include <fleet/hosttable.h>
-#include <routing/partloads.h>
+#include <routing/engineloads.h>
 #include <site/retiredupstreams.h>
 #include <store/recordmirror.h>
 
--- a/src/libs/site/trialclaims.cpp
+++ b/src/libs/site/trialclaims.cpp
@@ -75,7 +75,7 @@
     this->hooks.read_newest(
         [this, content, reads_left, on_answer](const newest_page& page) {
             this->take_records(page.records);
-            if (this->suspects.judge(content, this->hooks.timers.now()).judgement != send_decision::trial) {
+            if (this->suspects.assess(content, this->hooks.timers.now()).decision != send_decision::trial) {
                 this->deny_trial(content, "another host was just granted a trial", on_answer);
                 return;
             }
--- a/tests/auto/site/tst_trialclaims.cpp
+++ b/tests/auto/site/tst_trialclaims.cpp
@@ -196,8 +196,8 @@
     this->pass(1s);
     this->topic.fails = false;
     this->pass(1s);
-    const send_assessment judged = this->hosts.front()->suspects.judge(this->content, this->now);
-    EXPECT_EQ(judged.judgement, send_decision::later) << "one trial was granted, to a host that has ended";
+    const send_assessment judged = this->hosts.front()->suspects.assess(this->content, this->now);
+    EXPECT_EQ(judged.decision, send_decision::later) << "one trial was granted, to a host that has ended";
     EXPECT_GT(judged.wait, duration(3s));
 }
 
